--- a/lab/emulator/joined-gateways.ts
+++ b/lab/emulator/joined-gateways.ts
@@ -7,7 +7,7 @@
 import { GatewayNode } from '../../src/fleet/gateway-node.js';
 import type { FleetTimings } from '../../src/fleet/gateway-options.js';
 import { JOURNAL_ZONE_PREFIX } from '../../src/journal/replica-directory.js';
-import type { ReplicaPlace } from '../../src/journal/replica-place.js';
+import type { ReplicaPlace } from '../../src/journal/replica-location.js';
 import { REPLICA_PREFIX, replicaRecordOf } from '../../src/journal/replica-record.js';
 import type {
   PeerHandler,
--- a/src/fleet/cold-workers.ts
+++ b/src/fleet/cold-workers.ts
@@ -11,7 +11,7 @@
 import { WorkerWarmth } from '../placement/worker-warmth.js';
 import { ageingTime, type Clock } from '../serving/clock.js';
 import type { ColdStart, Service, WorkerRecord } from '../serving/traffic-configuration.js';
-import { lifeOf } from '../serving/worker-life.js';
+import { lifeOf } from '../serving/worker-incarnation.js';
 import type { WorkerRegistry } from '../serving/worker-registry.js';
 import type { DecisionLog } from '../telemetry/decision-log.js';
 import type { FleetMetrics } from '../telemetry/fleet-metrics.js';
--- a/src/fleet/coordination.ts
+++ b/src/fleet/coordination.ts
@@ -7,14 +7,14 @@
 import type { WeightNeed } from '../jobs/job-peers.js';
 import type { JobOwner } from '../jobs/job-records.js';
 import type { Localities } from '../placement/locality.js';
-import type { ConfigurationInForce } from '../serving/configuration-in-force.js';
+import type { ConfigurationInForce } from '../serving/active-configuration.js';
 import type { WorkerRegistry } from '../serving/worker-registry.js';
 import type { SharedStore } from '../shared-store/shared-store.js';
 import { CoordinatorLock } from './coordinator-lock.js';
-import { FleetDuties } from './fleet-duties.js';
 import type { FleetPeers } from './fleet-peers.js';
 import type { FleetRegistry } from './fleet-registry.js';
 import type { GatewayNodeOptions } from './gateway-options.js';
+import { FleetDuties } from './singleton-tasks.js';
 import { StorageDrains } from './storage-drains.js';
 import { type NamedVersion, WeightRollout } from './weight-rollout.js';
 
--- a/src/fleet/coordinator-lock.ts
+++ b/src/fleet/coordinator-lock.ts
@@ -11,7 +11,6 @@
 import { rendezvousOrder } from '../core/hashing.js';
 import type { NodeId } from '../core/identity.js';
 import type { Milliseconds, Revision } from '../core/units.js';
-import type { DutyLock } from '../duties/duty-lock.js';
 import type { JobOwner } from '../jobs/job-records.js';
 import type { PeerOutcome, PeerPort } from '../peers/peer-messages.js';
 import type { Clock } from '../serving/clock.js';
@@ -22,6 +21,7 @@
   type SharedStore,
   type StoreChange,
 } from '../shared-store/shared-store.js';
+import type { DutyLock } from '../singleton-tasks/singleton-task-lock.js';
 import type { DecisionLog } from '../telemetry/decision-log.js';
 import { FLEET_PREFIX, type FleetRegistry } from './fleet-registry.js';
 
--- a/src/fleet/fleet-peers.ts
+++ b/src/fleet/fleet-peers.ts
@@ -1,8 +1,8 @@
 /** Questions to the other nodes of a fleet, as this node asks them. */
 import type { NodeId, ZoneName } from '../core/identity.js';
 import type { Milliseconds } from '../core/units.js';
-import type { UsageSource, WindowCounts } from '../duties/usage-counts.js';
 import type { Failure } from '../errors/error-kinds.js';
+import type { DigestedWork } from '../jobs/item-work-cache.js';
 import type {
   JobPeers,
   OwnedBody,
@@ -13,7 +13,6 @@
 import type { OwnerListing } from '../jobs/job-reader.js';
 import type { JobOwner, JobSpecification } from '../jobs/job-records.js';
 import type { ResultSlice } from '../jobs/job-results.js';
-import type { DigestedWork } from '../jobs/kept-items.js';
 import type { PeerPort, PeerRequestOf } from '../peers/peer-messages.js';
 import type { AllowedRegions } from '../placement/allowed-regions.js';
 import { PERMIT_VALIDITY, type PermitAnswer, type PermitWish } from '../placement/cold-permits.js';
@@ -21,13 +20,14 @@
 import type { DistanceBetween } from '../placement/zone-topology.js';
 import type { Clock } from '../serving/clock.js';
 import type { CrashReport } from '../serving/request-quarantine.js';
+import type { UsageSource, WindowCounts } from '../singleton-tasks/usage-counts.js';
 import type { FleetMetrics } from '../telemetry/fleet-metrics.js';
 import type { CallerIdentity } from '../tenants/tenant.js';
 import type { CoordinatorLock } from './coordinator-lock.js';
 import type { FleetRegistry } from './fleet-registry.js';
 import type { JobPlacement } from './job-placement.js';
-import { PeerCalls } from './peer-calls.js';
 import { END_LIMIT } from './peer-limits.js';
+import { PeerCalls } from './peer-requester.js';
 import { SubmissionRouter } from './submission-router.js';
 import type { WeightChange } from './weight-changes.js';
 
--- a/src/fleet/gateway-options.ts
+++ b/src/fleet/gateway-options.ts
@@ -8,8 +8,8 @@
 import type { SharedStore } from '../shared-store/shared-store.js';
 import type { DecisionLog } from '../telemetry/decision-log.js';
 import type { FleetMetrics } from '../telemetry/fleet-metrics.js';
-import type { DutyOptions } from './fleet-duties.js';
 import type { FeedTranslation } from './fleet-feeds.js';
+import type { DutyOptions } from './singleton-tasks.js';
 import type { StorageDrainPort } from './storage-drains.js';
 
 /** Times that the operator sets and that may change while a process runs. */
--- a/src/fleet/peer-answers.ts
+++ b/src/fleet/peer-request-handler.ts
@@ -1,6 +1,5 @@
 /** Answers the questions that other nodes of the fleet ask this one. */
 import type { Milliseconds } from '../core/units.js';
-import type { UsageSource, WindowCounts } from '../duties/usage-counts.js';
 import { type Failure, failure } from '../errors/error-kinds.js';
 import type { WeightNeed } from '../jobs/job-peers.js';
 import type { JobOwner } from '../jobs/job-records.js';
@@ -16,6 +15,7 @@
 import type { PermitAnswer, PermitWish } from '../placement/cold-permits.js';
 import type { Clock } from '../serving/clock.js';
 import type { CrashReport } from '../serving/request-quarantine.js';
+import type { UsageSource, WindowCounts } from '../singleton-tasks/usage-counts.js';
 import type { CallerIdentity } from '../tenants/tenant.js';
 import type { CoordinatorLock } from './coordinator-lock.js';
 import type { FleetRegistry } from './fleet-registry.js';
--- a/src/fleet/fleet-duties.ts
+++ b/src/fleet/singleton-tasks.ts
@@ -4,20 +4,24 @@
  */
 import type { NodeId, ZoneName } from '../core/identity.js';
 import type { Milliseconds } from '../core/units.js';
-import type { DutyPort } from '../duties/duty-port.js';
-import { LargestFleetPolicy } from '../duties/scaling-policy.js';
-import { UsageCounts, type UsageSource, type WindowCounts } from '../duties/usage-counts.js';
-import { UsageMeter } from '../duties/usage-meter.js';
-import { UsageRecords } from '../duties/usage-records.js';
-import { UsageReporter, windowsToKeep } from '../duties/usage-reporter.js';
-import { UsageSender } from '../duties/usage-sender.js';
-import { UsageWindows } from '../duties/usage-windows.js';
-import { WorkerScaler } from '../duties/worker-scaler.js';
 import type { JobOwner } from '../jobs/job-records.js';
 import type { Clock } from '../serving/clock.js';
 import type { Service } from '../serving/traffic-configuration.js';
 import type { WorkerRegistry } from '../serving/worker-registry.js';
 import type { SharedStore } from '../shared-store/shared-store.js';
+import type { DutyPort } from '../singleton-tasks/cloud-port.js';
+import { LargestFleetPolicy } from '../singleton-tasks/scaling-policy.js';
+import {
+  UsageCounts,
+  type UsageSource,
+  type WindowCounts,
+} from '../singleton-tasks/usage-counts.js';
+import { UsageMeter } from '../singleton-tasks/usage-meter.js';
+import { UsageRecords } from '../singleton-tasks/usage-records.js';
+import { UsageReporter, windowsToKeep } from '../singleton-tasks/usage-reporter.js';
+import { UsageSender } from '../singleton-tasks/usage-sender.js';
+import { UsageWindows } from '../singleton-tasks/usage-windows.js';
+import { WorkerScaler } from '../singleton-tasks/worker-scaler.js';
 import type { DecisionLog } from '../telemetry/decision-log.js';
 import type { FleetMetrics } from '../telemetry/fleet-metrics.js';
 import type { CoordinatorLock } from './coordinator-lock.js';
--- a/src/fleet/submission-router.ts
+++ b/src/fleet/submission-router.ts
@@ -17,7 +17,7 @@
 import type { Clock } from '../serving/clock.js';
 import type { FleetRegistry } from './fleet-registry.js';
 import type { JobPlacement } from './job-placement.js';
-import type { PeerCalls } from './peer-calls.js';
+import type { PeerCalls } from './peer-requester.js';
 
 /**
  * Time for all nodes together to which a job is offered: in an outage of the store the first of them
--- a/src/fleet/weight-changes.ts
+++ b/src/fleet/weight-changes.ts
@@ -4,7 +4,7 @@
  */
 import type { ModelName } from '../core/identity.js';
 import type { Milliseconds, WeightVersion } from '../core/units.js';
-import { lifeOf, type WorkerLife } from '../serving/worker-life.js';
+import { lifeOf, type WorkerLife } from '../serving/worker-incarnation.js';
 import type { WorkerRegistry } from '../serving/worker-registry.js';
 
 /**
--- a/src/fleet/weight-rollout.ts
+++ b/src/fleet/weight-rollout.ts
@@ -18,7 +18,7 @@
   WeightOrderMode,
 } from '../serving/engine-port.js';
 import type { ServiceName } from '../serving/traffic-configuration.js';
-import { lifeOf } from '../serving/worker-life.js';
+import { lifeOf } from '../serving/worker-incarnation.js';
 import type { KnownWorker, WorkerRegistry } from '../serving/worker-registry.js';
 import type { DecisionLog } from '../telemetry/decision-log.js';
 import type { FleetMetrics } from '../telemetry/fleet-metrics.js';
--- a/src/fleet/worker-gate.ts
+++ b/src/fleet/worker-gate.ts
@@ -5,10 +5,10 @@
 import type { NodeId, ZoneName } from '../core/identity.js';
 import type { Milliseconds, Revision } from '../core/units.js';
 import type { PermitAnswer, PermitWish } from '../placement/cold-permits.js';
-import { EvacuationBelief } from '../placement/evacuation-belief.js';
 import { GuardedEngine } from '../placement/guarded-engine.js';
 import { ResidencyRule } from '../placement/residency-rule.js';
 import { SendRules } from '../placement/send-rules.js';
+import { EvacuationBelief } from '../placement/stale-evacuation-rule.js';
 import { ZoneEvacuations } from '../placement/zone-evacuations.js';
 import type { ZoneTopology } from '../placement/zone-topology.js';
 import type { EnginePort } from '../serving/engine-port.js';
--- a/src/jobs/item-dispatcher.ts
+++ b/src/jobs/item-dispatcher.ts
@@ -2,7 +2,7 @@
 
 import type { Milliseconds } from '../core/units.js';
 import type { AllowedRegions } from '../placement/allowed-regions.js';
-import type { WayCost } from '../placement/way-costs.js';
+import type { WayCost } from '../placement/distance-costs.js';
 import { MOST_ENDED_WORKERS } from '../serving/crash-evidence.js';
 import type { RouteMatcher } from '../serving/route-matcher.js';
 import type { SendingOptions } from '../serving/sending-options.js';
--- a/src/jobs/job-peers.ts
+++ b/src/jobs/job-peers.ts
@@ -4,10 +4,10 @@
 import type { Failure } from '../errors/error-kinds.js';
 import type { AllowedRegions } from '../placement/allowed-regions.js';
 import type { CallerIdentity, TenantName } from '../tenants/tenant.js';
+import type { DigestedWork } from './item-work-cache.js';
 import type { OwnerListing } from './job-reader.js';
 import type { JobOwner, JobSpecification } from './job-records.js';
 import type { ResultSlice } from './job-results.js';
-import type { DigestedWork } from './kept-items.js';
 
 /** What a job asks of the workers of its model. */
 export interface WeightNeed {
--- a/src/jobs/job-records.ts
+++ b/src/jobs/job-records.ts
@@ -7,7 +7,7 @@
 import * as z from 'zod';
 import { openRecord } from '../core/open-record.js';
 import type { Milliseconds } from '../core/units.js';
-import { REPLICA_PLACE } from '../journal/replica-place.js';
+import { REPLICA_PLACE } from '../journal/replica-location.js';
 import type { WeightNeed } from './job-peers.js';
 
 /** The request that asks for the score of an item's text, at the service of its own route. */
--- a/src/jobs/job-service.ts
+++ b/src/jobs/job-service.ts
@@ -10,6 +10,7 @@
   type TenantName,
   tenantNameOf,
 } from '../tenants/tenant.js';
+import type { DigestedWork } from './item-work-cache.js';
 import { JobAdmission } from './job-admission.js';
 import { JobHandover } from './job-handover.js';
 import type { JobPeers } from './job-peers.js';
@@ -19,7 +20,6 @@
 import type { StillWanted, VersionedHead } from './job-store.js';
 import { JobSubmissions } from './job-submissions.js';
 import { JournalRecovery } from './journal-recovery.js';
-import type { DigestedWork } from './kept-items.js';
 import type { OwnedJob } from './owned-job.js';
 import { OwnedJobs, type OwnedJobsOptions } from './owned-jobs.js';
 import { STORE_RETRY_AFTER } from './store-reads.js';
--- a/src/jobs/owned-job.ts
+++ b/src/jobs/owned-job.ts
@@ -6,10 +6,10 @@
 import type { Milliseconds } from '../core/units.js';
 import type { Clock } from '../serving/clock.js';
 import { fitsVersions, type VersionRule } from './item-progress.js';
+import type { KeptWork } from './item-work-cache.js';
 import { JobListing, type JournaledWork, type OwnershipEnd } from './job-listing.js';
 import type { JobOwner, JobResult, JobSpecification, KeptProgress } from './job-records.js';
 import type { JobStore, StillWanted, VersionedHead } from './job-store.js';
-import type { KeptWork } from './kept-items.js';
 import { cancelWork, lacksText, newOwnedItem, type OwnedItem } from './owned-item.js';
 import { storableProgress } from './value-limits.js';
 
--- a/src/jobs/owned-jobs.ts
+++ b/src/jobs/owned-jobs.ts
@@ -7,6 +7,14 @@
 import type { DecisionLog } from '../telemetry/decision-log.js';
 import type { FleetMetrics } from '../telemetry/fleet-metrics.js';
 import type { ItemDispatcher } from './item-dispatcher.js';
+import {
+  type DigestedWork,
+  digested,
+  extentOf,
+  KeptItems,
+  type KeptWork,
+  workFor,
+} from './item-work-cache.js';
 import type { JournaledWork } from './job-listing.js';
 import {
   ageOf,
@@ -17,14 +25,6 @@
   type KeptProgress,
 } from './job-records.js';
 import type { JobStore, VersionedHead } from './job-store.js';
-import {
-  type DigestedWork,
-  digested,
-  extentOf,
-  KeptItems,
-  type KeptWork,
-  workFor,
-} from './kept-items.js';
 import { OwnedJob } from './owned-job.js';
 
 /** Options of {@link OwnedJobs}. */
--- a/src/jobs/placement-round.ts
+++ b/src/jobs/placement-round.ts
@@ -3,8 +3,8 @@
  * not change from item to item (the median pace, which workers have room) is worked out once.
  */
 import type { Milliseconds } from '../core/units.js';
+import type { WayCost } from '../placement/distance-costs.js';
 import { SendRules } from '../placement/send-rules.js';
-import type { WayCost } from '../placement/way-costs.js';
 import type { KnownWorker } from '../serving/worker-registry.js';
 import { type ItemNeeds, mayRun, medianPace, placementScore } from './item-placement.js';
 
--- a/src/journal/job-journal.ts
+++ b/src/journal/job-journal.ts
@@ -15,7 +15,7 @@
   keyOfEntry,
   type ReplicaAnswer,
 } from './journal-entries.js';
-import type { ReplicaPlace } from './replica-place.js';
+import type { ReplicaPlace } from './replica-location.js';
 
 /**
  * Time for an answer: replicas are in the zone of the owner (0.2 ms away) and sync a disk (some ms);
--- a/src/journal/journal-entries.ts
+++ b/src/journal/journal-entries.ts
@@ -5,7 +5,7 @@
 import * as z from 'zod';
 import { openRecord } from '../core/open-record.js';
 import { RESULT, SPECIFICATION } from '../jobs/job-records.js';
-import { type DiskId, REPLICA_PLACE } from './replica-place.js';
+import { type DiskId, REPLICA_PLACE } from './replica-location.js';
 
 const KNOWN_ENTRY = z.discriminatedUnion('kind', [
   /** All of the job is kept from now on. */
--- a/src/journal/journal-file.ts
+++ b/src/journal/journal-file.ts
@@ -17,7 +17,7 @@
 import { openRecord } from '../core/open-record.js';
 import { JOURNAL_ENTRY, JOURNAL_HOLDER } from './journal-entries.js';
 import type { JournalChange } from './journal-state.js';
-import type { DiskId } from './replica-place.js';
+import type { DiskId } from './replica-location.js';
 
 const FILE_PATTERN = /^journal-(\d+)\.log$/;
 
--- a/src/journal/replica-directory.ts
+++ b/src/journal/replica-directory.ts
@@ -8,7 +8,7 @@
 import type { Milliseconds } from '../core/units.js';
 import { ageingTime, type Clock } from '../serving/clock.js';
 import type { StoreChange } from '../shared-store/shared-store.js';
-import type { ReplicaPlace } from './replica-place.js';
+import type { ReplicaPlace } from './replica-location.js';
 import { parseReplicaPlace, REPLICA_PREFIX } from './replica-record.js';
 
 /**
--- a/src/journal/replica-record.ts
+++ b/src/journal/replica-record.ts
@@ -1,7 +1,7 @@
 /** What a replica of a zone's journal tells of itself in the shared store. */
 import * as z from 'zod';
 import { FORMAT_FIELD, type FormatVersion, OWN_FORMAT } from '../core/format-version.js';
-import { REPLICA_PLACE, type ReplicaPlace } from './replica-place.js';
+import { REPLICA_PLACE, type ReplicaPlace } from './replica-location.js';
 
 /** Key prefix of the replicas' records, under the prefix of the fleet. */
 export const REPLICA_PREFIX = 'fleet/replica/';
--- a/src/journal/replica-registration.ts
+++ b/src/journal/replica-registration.ts
@@ -8,7 +8,7 @@
 import { type LeaseId, NO_LEASE, type SharedStore } from '../shared-store/shared-store.js';
 import type { DecisionLog } from '../telemetry/decision-log.js';
 import { JOURNAL_ZONE_PREFIX } from './replica-directory.js';
-import type { ReplicaPlace } from './replica-place.js';
+import type { ReplicaPlace } from './replica-location.js';
 import { REPLICA_PREFIX, replicaRecordOf } from './replica-record.js';
 
 /** Life of the record without renewal: three renewals may fail. */
--- a/src/journal/zone-journals.ts
+++ b/src/journal/zone-journals.ts
@@ -13,7 +13,7 @@
 import { JobJournal } from './job-journal.js';
 import type { JournalHolder } from './journal-entries.js';
 import type { ReplicaDirectory } from './replica-directory.js';
-import type { ReplicaPlace } from './replica-place.js';
+import type { ReplicaPlace } from './replica-location.js';
 
 /** Time for a replica of any zone to answer what it holds. */
 const LOOK_LIMIT: Milliseconds = 300;
--- a/src/peers/peer-messages.ts
+++ b/src/peers/peer-messages.ts
@@ -1,18 +1,18 @@
 /** What nodes of a fleet ask each other directly. */
 import type { ZoneName } from '../core/identity.js';
 import type { Milliseconds, Revision } from '../core/units.js';
-import type { UsageSource, WindowCounts } from '../duties/usage-counts.js';
 import type { Failure } from '../errors/error-kinds.js';
 import type { WeightChange } from '../fleet/weight-changes.js';
+import type { DigestedWork } from '../jobs/item-work-cache.js';
 import type { WeightNeed } from '../jobs/job-peers.js';
 import type { JobOwner, JobResult, JobSpecification } from '../jobs/job-records.js';
 import type { ResultSlice } from '../jobs/job-results.js';
-import type { DigestedWork } from '../jobs/kept-items.js';
 import type { JournalAnswers, JournalRequest } from '../journal/journal-entries.js';
 import type { AllowedRegions } from '../placement/allowed-regions.js';
 import type { PermitAnswer, PermitWish } from '../placement/cold-permits.js';
 import type { CrashReport } from '../serving/request-quarantine.js';
 import type { StoreChange, StoreItem } from '../shared-store/shared-store.js';
+import type { UsageSource, WindowCounts } from '../singleton-tasks/usage-counts.js';
 import type { CallerIdentity, TenantName } from '../tenants/tenant.js';
 
 /** A question to one node: a gateway, or a replica of a zone's journal. */
--- a/src/placement/cold-permits.ts
+++ b/src/placement/cold-permits.ts
@@ -1,6 +1,6 @@
 /** What gateways ask about cold workers, and what the one that grants permits answers. */
 import type { Milliseconds, Revision } from '../core/units.js';
-import type { WorkerLife } from '../serving/worker-life.js';
+import type { WorkerLife } from '../serving/worker-incarnation.js';
 import type { Warmth } from './worker-warmth.js';
 
 /**
--- a/src/placement/cold-worker-rule.ts
+++ b/src/placement/cold-worker-rule.ts
@@ -5,7 +5,7 @@
 import type { Milliseconds, Revision } from '../core/units.js';
 import { ageingTime, type Clock } from '../serving/clock.js';
 import type { ColdStart, ServiceName, WorkerRecord } from '../serving/traffic-configuration.js';
-import { lifeOf, type WorkerLife } from '../serving/worker-life.js';
+import { lifeOf, type WorkerLife } from '../serving/worker-incarnation.js';
 import type { FleetMetrics } from '../telemetry/fleet-metrics.js';
 import {
   PERMIT_VALIDITY,
--- a/src/placement/permit-granter.ts
+++ b/src/placement/permit-granter.ts
@@ -5,7 +5,7 @@
 import { MINUTE, type Milliseconds, type Revision, SECOND } from '../core/units.js';
 import type { Clock } from '../serving/clock.js';
 import type { ColdStart, ServiceName, WorkerRecord } from '../serving/traffic-configuration.js';
-import { lifeOf, type WorkerLife } from '../serving/worker-life.js';
+import { lifeOf, type WorkerLife } from '../serving/worker-incarnation.js';
 import {
   NOT_GRANTER,
   type PermitAnswer,
--- a/src/placement/worker-warmth.ts
+++ b/src/placement/worker-warmth.ts
@@ -7,7 +7,7 @@
 import type { Milliseconds } from '../core/units.js';
 import type { Clock } from '../serving/clock.js';
 import type { ColdStart, WorkerRecord } from '../serving/traffic-configuration.js';
-import { isLaterLife, lifeOf, type WorkerLife } from '../serving/worker-life.js';
+import { isLaterLife, lifeOf, type WorkerLife } from '../serving/worker-incarnation.js';
 
 /** How warm a worker is, and how much longer at most if it is not. */
 export type Warmth =
--- a/src/serving/crash-evidence.ts
+++ b/src/serving/crash-evidence.ts
@@ -7,7 +7,7 @@
 import type { Milliseconds } from '../core/units.js';
 import type { Clock } from './clock.js';
 import type { RequestFingerprint } from './request-fingerprint.js';
-import type { WorkerLife } from './worker-life.js';
+import type { WorkerLife } from './worker-incarnation.js';
 
 /**
  * Workers that may end under one request. One or two may be chance: a sixth of a service's workers
--- a/src/serving/request-quarantine.ts
+++ b/src/serving/request-quarantine.ts
@@ -21,7 +21,7 @@
 import type { WorkerStanding } from './engine-port.js';
 import type { AskedRequest, RequestFingerprint } from './request-fingerprint.js';
 import type { WorkerRecord } from './traffic-configuration.js';
-import { lifeOf, type WorkerLife } from './worker-life.js';
+import { lifeOf, type WorkerLife } from './worker-incarnation.js';
 
 /**
  * Time from the end of a worker until others are told what was there. Most of it is answered by
--- a/src/serving/worker-registry.ts
+++ b/src/serving/worker-registry.ts
@@ -5,12 +5,12 @@
 import type { ModelName, ZoneName } from '../core/identity.js';
 import type { Milliseconds, WeightVersion } from '../core/units.js';
 import type { AllowedRegions } from '../placement/allowed-regions.js';
+import { requestWayCost } from '../placement/distance-costs.js';
 import { SendRules } from '../placement/send-rules.js';
-import { requestWayCost } from '../placement/way-costs.js';
 import { type DistanceBetween, distanceInOneRegion } from '../placement/zone-topology.js';
 import type { ReportedLoad } from './engine-port.js';
 import type { ServiceName, WorkerRecord } from './traffic-configuration.js';
-import { isLaterLife } from './worker-life.js';
+import { isLaterLife } from './worker-incarnation.js';
 
 /** How one request at a worker ended, for the choice of later ones. */
 export type WorkerOutcome = 'success' | 'failure' | 'full' | 'stalled';
--- a/src/duties/usage-records.ts
+++ b/src/singleton-tasks/usage-records.ts
@@ -2,7 +2,7 @@
 import * as z from 'zod';
 import type { SharedStore, StoreItem } from '../shared-store/shared-store.js';
 import { ABSENT } from '../shared-store/shared-store.js';
-import type { UsageReport } from './duty-port.js';
+import type { UsageReport } from './cloud-port.js';
 import type { SourceCounts } from './usage-counts.js';
 import type { WindowNumber } from './usage-windows.js';
 
--- a/src/duties/worker-scaler.ts
+++ b/src/singleton-tasks/worker-scaler.ts
@@ -10,9 +10,9 @@
 import type { WorkerRegistry } from '../serving/worker-registry.js';
 import type { DecisionLog } from '../telemetry/decision-log.js';
 import type { FleetMetrics } from '../telemetry/fleet-metrics.js';
-import type { DutyLock } from './duty-lock.js';
-import type { DutyPort, WorkerOrder } from './duty-port.js';
-import { DutyRetry } from './duty-retry.js';
+import { DutyRetry } from './cloud-call-backoff.js';
+import type { DutyPort, WorkerOrder } from './cloud-port.js';
+import type { DutyLock } from './singleton-task-lock.js';
 
 /** Time beyond the start of a worker in which ordered workers have to show. */
 const ARRIVAL_MARGIN: Milliseconds = 6_000;
--- a/test/fleet/fleet-fixtures.ts
+++ b/test/fleet/fleet-fixtures.ts
@@ -1,6 +1,6 @@
 /** Nodes, peers and waiting for tests of a fleet. */
 import type { Milliseconds } from '../../src/core/units.js';
-import type { DigestedWork } from '../../src/jobs/kept-items.js';
+import type { DigestedWork } from '../../src/jobs/item-work-cache.js';
 import type {
   PeerAnswers,
   PeerOutcome,
--- a/test/fleet/fleet-peers.test.ts
+++ b/test/fleet/fleet-peers.test.ts
@@ -2,7 +2,7 @@
 import { FleetPeers } from '../../src/fleet/fleet-peers.js';
 import type { FleetRegistry } from '../../src/fleet/fleet-registry.js';
 import { JobPlacement } from '../../src/fleet/job-placement.js';
-import { PeerAnswering } from '../../src/fleet/peer-answers.js';
+import { PeerAnswering } from '../../src/fleet/peer-request-handler.js';
 import type { JobService } from '../../src/jobs/job-service.js';
 import type { PeerOutcome, PeerPort, PeerRequest } from '../../src/peers/peer-messages.js';
 import { PROCESS_CLOCK } from '../../src/serving/clock.js';
--- a/test/fleet/peer-calls.test.ts
+++ b/test/fleet/peer-requester.test.ts
@@ -5,7 +5,7 @@
  */
 import t from 'tap';
 import type { FleetRegistry } from '../../src/fleet/fleet-registry.js';
-import { PeerCalls } from '../../src/fleet/peer-calls.js';
+import { PeerCalls } from '../../src/fleet/peer-requester.js';
 import type { PeerPort } from '../../src/peers/peer-messages.js';
 import { type DistanceBetween, ZoneTopology } from '../../src/placement/zone-topology.js';
 import { FleetMetrics } from '../../src/telemetry/fleet-metrics.js';
--- a/test/fleet/regional-gateways.ts
+++ b/test/fleet/regional-gateways.ts
@@ -10,7 +10,7 @@
 import type { Milliseconds } from '../../src/core/units.js';
 import { GatewayNode } from '../../src/fleet/gateway-node.js';
 import type { JobSpecification } from '../../src/jobs/job-records.js';
-import type { ReplicaPlace } from '../../src/journal/replica-place.js';
+import type { ReplicaPlace } from '../../src/journal/replica-location.js';
 import { REPLICA_PREFIX } from '../../src/journal/replica-record.js';
 import type {
   PeerHandler,
--- a/test/fleet/submission-router.test.ts
+++ b/test/fleet/submission-router.test.ts
@@ -5,7 +5,7 @@
 import t from 'tap';
 import type { FleetRegistry } from '../../src/fleet/fleet-registry.js';
 import type { JobPlacement } from '../../src/fleet/job-placement.js';
-import type { PeerCalls } from '../../src/fleet/peer-calls.js';
+import type { PeerCalls } from '../../src/fleet/peer-requester.js';
 import { SUBMIT_LIMIT, SubmissionRouter } from '../../src/fleet/submission-router.js';
 import type { PeerRequestOf } from '../../src/peers/peer-messages.js';
 import { ManualClock, OWNER, specification } from '../jobs/job-fixtures.js';
--- a/test/jobs/kept-items.test.ts
+++ b/test/jobs/item-work-cache.test.ts
@@ -1,7 +1,7 @@
 import t from 'tap';
 import { SharedStoreEmulator } from '../../lab/emulator/shared-store-emulator.js';
+import { KeptItems } from '../../src/jobs/item-work-cache.js';
 import { JobStore } from '../../src/jobs/job-store.js';
-import { KeptItems } from '../../src/jobs/kept-items.js';
 import { OwnedJob } from '../../src/jobs/owned-job.js';
 import { always, headOf, ManualClock, OWNER, result, specification } from './job-fixtures.js';
 
--- a/test/jobs/journaled-jobs.test.ts
+++ b/test/jobs/journaled-jobs.test.ts
@@ -12,7 +12,7 @@
 import { NO_PEERS } from '../../lab/common/no-peers.js';
 import { SharedStoreEmulator } from '../../lab/emulator/shared-store-emulator.js';
 import { JobStore } from '../../src/jobs/job-store.js';
-import type { ReplicaPlace } from '../../src/journal/replica-place.js';
+import type { ReplicaPlace } from '../../src/journal/replica-location.js';
 import type { EngineOutcome } from '../../src/serving/engine-port.js';
 import { UNRESTRICTED } from '../../src/tenants/tenant.js';
 import { eventually } from '../fleet/fleet-fixtures.js';
--- a/test/journal/journal-fixtures.ts
+++ b/test/journal/journal-fixtures.ts
@@ -6,7 +6,7 @@
 import type { JournalEntry } from '../../src/journal/journal-entries.js';
 import { JournalReplica } from '../../src/journal/journal-replica.js';
 import { ReplicaDirectory } from '../../src/journal/replica-directory.js';
-import type { ReplicaPlace } from '../../src/journal/replica-place.js';
+import type { ReplicaPlace } from '../../src/journal/replica-location.js';
 import { REPLICA_PREFIX } from '../../src/journal/replica-record.js';
 import { ZoneJournals } from '../../src/journal/zone-journals.js';
 import type { PeerOutcome, PeerPort, PeerRequest } from '../../src/peers/peer-messages.js';
--- a/test/placement/way-costs.test.ts
+++ b/test/placement/distance-costs.test.ts
@@ -6,7 +6,7 @@
 import t from 'tap';
 import type { ItemNeeds } from '../../src/jobs/item-placement.js';
 import { PlacementRound } from '../../src/jobs/placement-round.js';
-import { itemWayCost } from '../../src/placement/way-costs.js';
+import { itemWayCost } from '../../src/placement/distance-costs.js';
 import { withoutRegions, ZoneTopology } from '../../src/placement/zone-topology.js';
 import { KnownWorker, WorkerRegistry } from '../../src/serving/worker-registry.js';
 import { worker } from '../serving/serving-fixtures.js';
--- a/test/placement/job-residency.test.ts
+++ b/test/placement/job-residency.test.ts
@@ -6,7 +6,7 @@
 import t from 'tap';
 import type { FleetRegistry } from '../../src/fleet/fleet-registry.js';
 import { JobPlacement } from '../../src/fleet/job-placement.js';
-import type { PeerCalls } from '../../src/fleet/peer-calls.js';
+import type { PeerCalls } from '../../src/fleet/peer-requester.js';
 import { SubmissionRouter } from '../../src/fleet/submission-router.js';
 import { JobResidency } from '../../src/placement/job-residency.js';
 import { localitiesOf } from '../../src/placement/locality.js';
--- a/test/placement/evacuation-belief.test.ts
+++ b/test/placement/stale-evacuation-rule.test.ts
@@ -1,6 +1,6 @@
 /** How long a node that hears from nobody acts on what it knows of evacuations. */
 import t from 'tap';
-import { EvacuationBelief } from '../../src/placement/evacuation-belief.js';
+import { EvacuationBelief } from '../../src/placement/stale-evacuation-rule.js';
 
 /** A belief whose surroundings a test sets. */
 function fixture() {
--- a/test/serving/worker-life.test.ts
+++ b/test/serving/worker-incarnation.test.ts
@@ -4,7 +4,7 @@
  * (versions shown, penalties, pace, load, a group's prompt) went on to count for the new life.
  */
 import t from 'tap';
-import { lifeOf } from '../../src/serving/worker-life.js';
+import { lifeOf } from '../../src/serving/worker-incarnation.js';
 import { WorkerRegistry } from '../../src/serving/worker-registry.js';
 import { worker } from './serving-fixtures.js';
 
--- a/test/duties/scaling-policy.test.ts
+++ b/test/singleton-tasks/scaling-policy.test.ts
@@ -1,5 +1,5 @@
 import t from 'tap';
-import { LargestFleetPolicy } from '../../src/duties/scaling-policy.js';
+import { LargestFleetPolicy } from '../../src/singleton-tasks/scaling-policy.js';
 import { ManualClock } from '../jobs/job-fixtures.js';
 
 const limits = (most: number): Parameters<LargestFleetPolicy['wanted']>[0] => ({
--- a/test/duties/duty-fixtures.ts
+++ b/test/singleton-tasks/singleton-task-fixtures.ts
@@ -1,18 +1,18 @@
 /** A cloud interface, a lock and a node's share of usage for tests of duties. */
 import { SharedStoreEmulator } from '../../lab/emulator/shared-store-emulator.js';
-import type { DutyLock } from '../../src/duties/duty-lock.js';
 import type {
   DutyOutcome,
   DutyPort,
   DutyStamp,
   UsageReport,
   WorkerOrder,
-} from '../../src/duties/duty-port.js';
-import { UsageCounts } from '../../src/duties/usage-counts.js';
-import { UsageMeter } from '../../src/duties/usage-meter.js';
-import { UsageRecords } from '../../src/duties/usage-records.js';
-import { UsageReporter } from '../../src/duties/usage-reporter.js';
-import { UsageWindows } from '../../src/duties/usage-windows.js';
+} from '../../src/singleton-tasks/cloud-port.js';
+import type { DutyLock } from '../../src/singleton-tasks/singleton-task-lock.js';
+import { UsageCounts } from '../../src/singleton-tasks/usage-counts.js';
+import { UsageMeter } from '../../src/singleton-tasks/usage-meter.js';
+import { UsageRecords } from '../../src/singleton-tasks/usage-records.js';
+import { UsageReporter } from '../../src/singleton-tasks/usage-reporter.js';
+import { UsageWindows } from '../../src/singleton-tasks/usage-windows.js';
 import { FleetMetrics } from '../../src/telemetry/fleet-metrics.js';
 import { ManualClock } from '../jobs/job-fixtures.js';
 import { recordingLog } from '../serving/serving-fixtures.js';
--- a/test/duties/usage-counts.test.ts
+++ b/test/singleton-tasks/usage-counts.test.ts
@@ -1,7 +1,7 @@
 import t from 'tap';
-import { UsageCounts } from '../../src/duties/usage-counts.js';
-import { UsageMeter } from '../../src/duties/usage-meter.js';
-import { UsageWindows } from '../../src/duties/usage-windows.js';
+import { UsageCounts } from '../../src/singleton-tasks/usage-counts.js';
+import { UsageMeter } from '../../src/singleton-tasks/usage-meter.js';
+import { UsageWindows } from '../../src/singleton-tasks/usage-windows.js';
 import { ManualClock } from '../jobs/job-fixtures.js';
 
 const totals = (window: number, counts: Record<string, number>): Map<number, Map<string, number>> =>
--- a/test/duties/usage-report-property.test.ts
+++ b/test/singleton-tasks/usage-report-property.test.ts
@@ -4,7 +4,7 @@
  */
 import * as fc from 'fast-check';
 import t from 'tap';
-import { UsageFleet, type UsageNode, WINDOW } from './duty-fixtures.js';
+import { UsageFleet, type UsageNode, WINDOW } from './singleton-task-fixtures.js';
 
 const NODES = 3;
 
--- a/test/duties/usage-reporter.test.ts
+++ b/test/singleton-tasks/usage-reporter.test.ts
@@ -1,5 +1,5 @@
 import t from 'tap';
-import { DUE_AFTER, UsageFleet, WINDOW } from './duty-fixtures.js';
+import { DUE_AFTER, UsageFleet, WINDOW } from './singleton-task-fixtures.js';
 
 /** The clock starts at 1 s of 1970, in window 0. */
 const DAY_PART = 3 * WINDOW + DUE_AFTER;
--- a/test/duties/usage-sender.test.ts
+++ b/test/singleton-tasks/usage-sender.test.ts
@@ -1,10 +1,10 @@
 import t from 'tap';
 import { SharedStoreEmulator } from '../../lab/emulator/shared-store-emulator.js';
-import { UsageCounts, type WindowCounts } from '../../src/duties/usage-counts.js';
-import { UsageMeter } from '../../src/duties/usage-meter.js';
-import { UsageRecords } from '../../src/duties/usage-records.js';
-import { type DutyHolder, UsageSender } from '../../src/duties/usage-sender.js';
-import { UsageWindows } from '../../src/duties/usage-windows.js';
+import { UsageCounts, type WindowCounts } from '../../src/singleton-tasks/usage-counts.js';
+import { UsageMeter } from '../../src/singleton-tasks/usage-meter.js';
+import { UsageRecords } from '../../src/singleton-tasks/usage-records.js';
+import { type DutyHolder, UsageSender } from '../../src/singleton-tasks/usage-sender.js';
+import { UsageWindows } from '../../src/singleton-tasks/usage-windows.js';
 import { ManualClock } from '../jobs/job-fixtures.js';
 import { recordingLog } from '../serving/serving-fixtures.js';
 
--- a/test/duties/usage-windows.test.ts
+++ b/test/singleton-tasks/usage-windows.test.ts
@@ -1,5 +1,5 @@
 import t from 'tap';
-import { UsageWindows } from '../../src/duties/usage-windows.js';
+import { UsageWindows } from '../../src/singleton-tasks/usage-windows.js';
 import { ManualClock } from '../jobs/job-fixtures.js';
 
 /** Steady time and time of day that move apart. */
--- a/test/duties/worker-scaler.test.ts
+++ b/test/singleton-tasks/worker-scaler.test.ts
@@ -1,11 +1,11 @@
 import t from 'tap';
-import { WorkerScaler } from '../../src/duties/worker-scaler.js';
 import type { Service } from '../../src/serving/traffic-configuration.js';
 import { WorkerRegistry } from '../../src/serving/worker-registry.js';
+import { WorkerScaler } from '../../src/singleton-tasks/worker-scaler.js';
 import { FleetMetrics } from '../../src/telemetry/fleet-metrics.js';
 import { ManualClock } from '../jobs/job-fixtures.js';
 import { recordingLog, worker } from '../serving/serving-fixtures.js';
-import { StubCloud, StubLock } from './duty-fixtures.js';
+import { StubCloud, StubLock } from './singleton-task-fixtures.js';
 
 const scaling = {
   fewest: 1,
