--- a/lab/emulator/crashing-workers.ts
+++ b/lab/emulator/crashing-workers.ts
@@ -8,7 +8,7 @@
   EnginePort,
   EngineRequest,
   OrderOutcome,
-  WorkerStanding,
+  WorkerLiveness,
 } from '../../src/serving/engine-port.js';
 import type { WorkerRecord } from '../../src/serving/traffic-configuration.js';
 
@@ -97,7 +97,7 @@
     return wholeAnswer(`answer to ${body}`);
   }
 
-  async standingOf({ id }: WorkerRecord): Promise<WorkerStanding> {
+  async standingOf({ id }: WorkerRecord): Promise<WorkerLiveness> {
     return this.live.has(id) ? 'lives' : 'ended';
   }
 
--- a/lab/emulator/joined-gateways.ts
+++ b/lab/emulator/joined-gateways.ts
@@ -7,7 +7,7 @@
 import { GatewayNode } from '../../src/fleet/gateway-node.js';
 import type { FleetTimings } from '../../src/fleet/gateway-options.js';
 import { JOURNAL_ZONE_PREFIX } from '../../src/journal/replica-directory.js';
-import type { ReplicaPlace } from '../../src/journal/replica-location.js';
+import type { ReplicaLocation } from '../../src/journal/replica-location.js';
 import { REPLICA_PREFIX, replicaRecordOf } from '../../src/journal/replica-record.js';
 import type {
   PeerHandler,
@@ -159,7 +159,7 @@
   }
 
   /** A replica of a zone's journal answers at its address from now on. */
-  addReplica(place: ReplicaPlace, handler: PeerHandler): void {
+  addReplica(place: ReplicaLocation, handler: PeerHandler): void {
     this.byAddress.set(place.address, { zone: place.zone, handler });
     this.store.write(`${REPLICA_PREFIX}${place.node}`, replicaRecordOf(place));
     this.store.write(`${JOURNAL_ZONE_PREFIX}${place.zone}`, '');
--- a/lab/emulator/shared-store-emulator.ts
+++ b/lab/emulator/shared-store-emulator.ts
@@ -14,8 +14,8 @@
   type StoreGetOutcome,
   type StoreGrantOutcome,
   type StoreItem,
-  type StoreKeepOutcome,
   type StoreRangeOutcome,
+  type StoreRenewOutcome,
   type StoreWatchOutcome,
 } from '../../src/shared-store/shared-store.js';
 
@@ -186,7 +186,7 @@
     return { kind: 'granted', lease: this.lastLease, ttl };
   }
 
-  async keepLease(lease: LeaseId): Promise<StoreKeepOutcome> {
+  async keepLease(lease: LeaseId): Promise<StoreRenewOutcome> {
     if (!(await this.answers('keep'))) return NOT_DONE;
     return this.leases.has(lease) ? { kind: 'kept' } : { kind: 'gone' };
   }
--- a/src/fleet/cold-workers.ts
+++ b/src/fleet/cold-workers.ts
@@ -4,14 +4,14 @@
  */
 import type { NodeId, ZoneName } from '../core/identity.js';
 import { type Milliseconds, type Revision, SECOND } from '../core/units.js';
-import { NOT_GRANTER, type PermitAnswer, type PermitWish } from '../placement/cold-permits.js';
+import { NOT_GRANTER, type PermitAnswer, type PermitRequest } from '../placement/cold-permits.js';
 import type { ColdTolerance } from '../placement/cold-tolerance.js';
 import { ColdWorkerRule } from '../placement/cold-worker-rule.js';
 import { type GranterState, PermitGranter } from '../placement/permit-granter.js';
 import { WorkerWarmth } from '../placement/worker-warmth.js';
-import { ageingTime, type Clock } from '../serving/clock.js';
+import { type Clock, suspendAwareTime } from '../serving/clock.js';
 import type { ColdStart, Service, WorkerRecord } from '../serving/traffic-configuration.js';
-import { lifeOf } from '../serving/worker-incarnation.js';
+import { workerIncarnationOf } from '../serving/worker-incarnation.js';
 import type { WorkerRegistry } from '../serving/worker-registry.js';
 import type { DecisionLog } from '../telemetry/decision-log.js';
 import type { FleetMetrics } from '../telemetry/fleet-metrics.js';
@@ -51,7 +51,10 @@
   readonly coordinator: () => NodeId | undefined;
   readonly fencingToken: () => Revision | undefined;
   /** Asks another node; `undefined` where no answer came in time. */
-  readonly ask: (node: NodeId, wishes: readonly PermitWish[]) => Promise<PermitAnswer | undefined>;
+  readonly ask: (
+    node: NodeId,
+    wishes: readonly PermitRequest[],
+  ) => Promise<PermitAnswer | undefined>;
   /** Asks a worker how long it stays cold. */
   readonly coldTimeOf: (worker: WorkerRecord) => Promise<Milliseconds | undefined>;
   /** Whether this node is out of touch with the store, and may miss what the operator does. */
@@ -115,7 +118,7 @@
   }
 
   /** Answers another node's wishes. */
-  answer(wishes: readonly PermitWish[]): PermitAnswer {
+  answer(wishes: readonly PermitRequest[]): PermitAnswer {
     const answer = this.granter.answer(wishes);
     if (answer.term === undefined) return NOT_GRANTER;
     const wanted = wishes.reduce((sum, { permits }) => sum + permits, 0);
@@ -213,19 +216,19 @@
     this.nextAskedAbout = first + MOST_ASKED_ABOUT;
     const wishes = inTurn.slice(0, MOST_ASKED_ABOUT).map((worker) => ({
       worker: worker.id,
-      life: lifeOf(worker),
+      life: workerIncarnationOf(worker),
       permits: 0,
       doubtAge: undefined,
     }));
     return this.ask(wishes);
   }
 
-  private async ask(wishes: readonly PermitWish[]): Promise<void> {
+  private async ask(wishes: readonly PermitRequest[]): Promise<void> {
     const { clock, registry, freed } = this.options;
     if (wishes.length === 0 || this.isAsking) return;
     this.isAsking = true;
     this.nextAskAt = clock.now() + ASK_INTERVAL;
-    const sentAt = ageingTime(clock);
+    const sentAt = suspendAwareTime(clock);
     const answer = await this.answerOfGranter(wishes);
     this.isAsking = false;
     // What was wished for meanwhile found no timer to wait for.
@@ -237,7 +240,9 @@
     if (isAnyFree) freed();
   }
 
-  private async answerOfGranter(wishes: readonly PermitWish[]): Promise<PermitAnswer | undefined> {
+  private async answerOfGranter(
+    wishes: readonly PermitRequest[],
+  ): Promise<PermitAnswer | undefined> {
     const { self, coordinator, ask } = this.options;
     const granter = coordinator();
     if (granter === undefined) return undefined;
@@ -248,7 +253,7 @@
    * Without a granter nobody tells that a doubtful worker is warm, as after a start of all gateways: this
    * node looks itself at those that it would send work to.
    */
-  private lookWithoutGranter(wishes: readonly PermitWish[]): void {
+  private lookWithoutGranter(wishes: readonly PermitRequest[]): void {
     for (const { worker, permits } of wishes) {
       const record = this.options.registry().get(worker)?.record;
       if (permits > 0 && record !== undefined && this.isDoubtful(record)) this.lookSoon(record);
--- a/src/fleet/coordination.ts
+++ b/src/fleet/coordination.ts
@@ -7,14 +7,14 @@
 import type { WeightNeed } from '../jobs/job-peers.js';
 import type { JobOwner } from '../jobs/job-records.js';
 import type { Localities } from '../placement/locality.js';
-import type { ConfigurationInForce } from '../serving/active-configuration.js';
+import type { ActiveConfiguration } from '../serving/active-configuration.js';
 import type { WorkerRegistry } from '../serving/worker-registry.js';
 import type { SharedStore } from '../shared-store/shared-store.js';
 import { CoordinatorLock } from './coordinator-lock.js';
 import type { FleetPeers } from './fleet-peers.js';
 import type { FleetRegistry } from './fleet-registry.js';
 import type { GatewayNodeOptions } from './gateway-options.js';
-import { FleetDuties } from './singleton-tasks.js';
+import { SingletonTasks } from './singleton-tasks.js';
 import { StorageDrains } from './storage-drains.js';
 import { type NamedVersion, WeightRollout } from './weight-rollout.js';
 
@@ -32,7 +32,7 @@
   readonly fleet: FleetRegistry;
   readonly peers: FleetPeers;
   readonly registry: WorkerRegistry;
-  readonly configuration: ConfigurationInForce;
+  readonly configuration: ActiveConfiguration;
   /** Whether the workers of a zone are sent no work for the time being. */
   readonly isEvacuated: (zone: ZoneName) => boolean;
   /** The zones or regions that serve their own callers; `undefined` where any node serves any caller. */
@@ -48,7 +48,7 @@
 /** One node's part in coordinating the fleet. */
 export class Coordination {
   readonly lock: CoordinatorLock;
-  readonly duties: FleetDuties | undefined;
+  readonly duties: SingletonTasks | undefined;
   private readonly rollout: WeightRollout;
   private readonly drains: StorageDrains;
   private readonly named = new Map<ModelName, NamedVersion>();
@@ -79,7 +79,7 @@
     });
     this.drains = new StorageDrains({ port, lock, log, isEmpty: options.isStorageEmpty });
     if (node.duties === undefined) return;
-    this.duties = new FleetDuties({
+    this.duties = new SingletonTasks({
       ...shared,
       ...{ clock, lock, duties: node.duties },
       services: () => configuration.services,
--- a/src/fleet/coordinator-lock.ts
+++ b/src/fleet/coordinator-lock.ts
@@ -21,7 +21,7 @@
   type SharedStore,
   type StoreChange,
 } from '../shared-store/shared-store.js';
-import type { DutyLock } from '../singleton-tasks/singleton-task-lock.js';
+import type { SingletonTaskLock } from '../singleton-tasks/singleton-task-lock.js';
 import type { DecisionLog } from '../telemetry/decision-log.js';
 import { FLEET_PREFIX, type FleetRegistry } from './fleet-registry.js';
 
@@ -66,7 +66,7 @@
 }
 
 /** Takes the lock when it is free, and tells whether this node may give orders. */
-export class CoordinatorLock implements DutyLock {
+export class CoordinatorLock implements SingletonTaskLock {
   private holding: LockRecord | undefined;
   private lockRevision: Revision = ABSENT;
   private isKnown = false;
--- a/src/fleet/direct-prefixes.ts
+++ b/src/fleet/direct-prefixes.ts
@@ -7,7 +7,7 @@
 import { filter, firstValueFrom, raceWith, Subject, timer } from 'rxjs';
 import type { Milliseconds, Revision } from '../core/units.js';
 import type { PeerAnswers, PeerRequestOf } from '../peers/peer-messages.js';
-import { ageingTime, type Clock } from '../serving/clock.js';
+import { type Clock, suspendAwareTime } from '../serving/clock.js';
 import { PrefixMirror, type PrefixSnapshot } from '../shared-store/prefix-mirror.js';
 import type {
   SharedStore,
@@ -81,10 +81,14 @@
     const known = this.watches.get(prefix);
     if (known === undefined) {
       const mirror = new PrefixMirror(outcome);
-      this.watches.set(prefix, { mirror, isWaiting: false, lastOutcomeAt: ageingTime(clock) });
+      this.watches.set(prefix, {
+        mirror,
+        isWaiting: false,
+        lastOutcomeAt: suspendAwareTime(clock),
+      });
     } else {
       known.mirror.takeList(outcome);
-      known.lastOutcomeAt = ageingTime(clock);
+      known.lastOutcomeAt = suspendAwareTime(clock);
     }
     this.grown.next(prefix);
     return outcome;
@@ -106,7 +110,7 @@
     const outcome = await store.watch(prefix, after, limit, signal);
     watch.isWaiting = false;
     if (outcome.kind === 'changes') {
-      watch.lastOutcomeAt = ageingTime(clock);
+      watch.lastOutcomeAt = suspendAwareTime(clock);
       watch.mirror.takeChanges(after, outcome.changes, outcome.revision);
     } else if (!signal.aborted) {
       // What comes until the next list is not known here: followers must not wait for it.
@@ -169,7 +173,7 @@
   }
 
   private isFollowing({ isWaiting, lastOutcomeAt }: DirectWatch): boolean {
-    return isWaiting || ageingTime(this.options.clock) - lastOutcomeAt < FRESHNESS;
+    return isWaiting || suspendAwareTime(this.options.clock) - lastOutcomeAt < FRESHNESS;
   }
 
   /** Time until the last renewal of the lease is too old to say anything, unless another comes. */
--- a/src/fleet/fleet-peers.ts
+++ b/src/fleet/fleet-peers.ts
@@ -4,9 +4,9 @@
 import type { Failure } from '../errors/error-kinds.js';
 import type { DigestedWork } from '../jobs/item-work-cache.js';
 import type {
+  ForwardedOutcome,
   JobPeers,
-  OwnedBody,
-  PassedOn,
+  OwnerItemBody,
   SubmissionPath,
   WeightNeed,
 } from '../jobs/job-peers.js';
@@ -15,7 +15,11 @@
 import type { ResultSlice } from '../jobs/job-results.js';
 import type { PeerPort, PeerRequestOf } from '../peers/peer-messages.js';
 import type { AllowedRegions } from '../placement/allowed-regions.js';
-import { PERMIT_VALIDITY, type PermitAnswer, type PermitWish } from '../placement/cold-permits.js';
+import {
+  PERMIT_VALIDITY,
+  type PermitAnswer,
+  type PermitRequest,
+} from '../placement/cold-permits.js';
 import { JOBS_ANYWHERE, type JobResidency } from '../placement/job-residency.js';
 import type { DistanceBetween } from '../placement/zone-topology.js';
 import type { Clock } from '../serving/clock.js';
@@ -27,7 +31,7 @@
 import type { FleetRegistry } from './fleet-registry.js';
 import type { JobPlacement } from './job-placement.js';
 import { END_LIMIT } from './peer-limits.js';
-import { PeerCalls } from './peer-requester.js';
+import { PeerRequester } from './peer-requester.js';
 import { SubmissionRouter } from './submission-router.js';
 import type { WeightChange } from './weight-changes.js';
 
@@ -78,13 +82,13 @@
 
 /** The other nodes of the fleet. */
 export class FleetPeers implements JobPeers {
-  private readonly calls: PeerCalls;
+  private readonly calls: PeerRequester;
   private readonly submissions: SubmissionRouter;
   private readonly residency: JobResidency;
 
   constructor(private readonly options: FleetPeersOptions) {
     this.residency = options.residency ?? JOBS_ANYWHERE;
-    this.calls = new PeerCalls(options);
+    this.calls = new PeerRequester(options);
     this.submissions = new SubmissionRouter({ ...options, calls: this.calls });
   }
 
@@ -158,7 +162,7 @@
     return this.options.placement.isByZone ? LIKELY_OWNERS_BY_ZONE : LIKELY_OWNERS;
   }
 
-  async bodyAtOwner(job: string, item: string): Promise<OwnedBody | undefined> {
+  async bodyAtOwner(job: string, item: string): Promise<OwnerItemBody | undefined> {
     const owners = this.likelyOwners(job);
     const request = { kind: 'item-body', job, item } as const;
     for (const owner of this.options.placement.isByZone ? owners : owners.slice(0, 1)) {
@@ -201,7 +205,7 @@
     return outcome?.kind === 'answered' ? outcome.answer.read : undefined;
   }
 
-  async endElsewhere(job: string, caller: CallerIdentity): Promise<PassedOn | undefined> {
+  async endElsewhere(job: string, caller: CallerIdentity): Promise<ForwardedOutcome | undefined> {
     const node = await this.calls.nodeThatReachesStore();
     if (node === undefined) return undefined;
     const request = { kind: 'end-for', job, caller } as const;
@@ -274,7 +278,7 @@
   }
 
   /** Asks the node that grants permits for cold workers; `undefined` where no answer came in time. */
-  async permits(node: NodeId, wishes: readonly PermitWish[]): Promise<PermitAnswer | undefined> {
+  async permits(node: NodeId, wishes: readonly PermitRequest[]): Promise<PermitAnswer | undefined> {
     const request = { kind: 'cold-permits', wishes } as const;
     const outcome = await this.calls.ask<'cold-permits'>(node, request, PERMIT_VALIDITY);
     return outcome?.kind === 'answered' ? outcome.answer : undefined;
--- a/src/fleet/fleet-registry.ts
+++ b/src/fleet/fleet-registry.ts
@@ -9,7 +9,7 @@
 import type { Milliseconds } from '../core/units.js';
 import type { JobOwner } from '../jobs/job-records.js';
 import { REPLICA_PREFIX, replicaFormatOf } from '../journal/replica-record.js';
-import { ageingTime, type Clock } from '../serving/clock.js';
+import { type Clock, suspendAwareTime } from '../serving/clock.js';
 import { PrefixWatcher } from '../shared-store/prefix-watcher.js';
 import {
   type LeaseId,
@@ -56,7 +56,7 @@
 const FIRST_START_DELAY: Milliseconds = 1_500;
 
 /** A life of a node that ended; a node that is replaced is surely gone, its lease may just lapse. */
-export interface Departure {
+export interface NodeTermination {
   readonly node: NodeId;
   readonly zone: ZoneName;
   readonly cause: 'replaced' | 'lease-over';
@@ -78,7 +78,7 @@
 /** Knows which lives of nodes are live, and keeps this node's own record. */
 export class FleetRegistry {
   /** Fires after a node left or was replaced by a new life. */
-  readonly departures = new Subject<Departure>();
+  readonly departures = new Subject<NodeTermination>();
   /** Fires after a node joined or began a new life. */
   readonly arrivals = new Subject<NodeId>();
   /** Changes under the fleet's prefix that are not about nodes. */
@@ -94,7 +94,7 @@
   /** Life of the lease that is held. */
   private ttl: Milliseconds = 0;
   private areDutiesTaken = false;
-  /** By {@link ageingTime}, as the lease goes on while this machine is suspended. */
+  /** By {@link suspendAwareTime}, as the lease goes on while this machine is suspended. */
   private renewedAt: Milliseconds = Number.NEGATIVE_INFINITY;
   /** When the newest renewal was sent, whatever came of it. */
   private triedAt: Milliseconds = Number.NEGATIVE_INFINITY;
@@ -213,7 +213,7 @@
 
   /** Whether every node that may live reads a format, so that it may be written. */
   isReadByAll(format: FormatVersion): boolean {
-    return this.formats.isReadByAll(format, ageingTime(this.options.clock));
+    return this.formats.isReadByAll(format, suspendAwareTime(this.options.clock));
   }
 
   /** Whether the store was silent, as the renewals show, within the last time. */
@@ -233,12 +233,12 @@
 
   /** Time for which the lease surely goes on, by this node's own clock; negative when over. */
   leaseRemaining(): Milliseconds {
-    return this.renewedAt + this.ttl - ageingTime(this.options.clock);
+    return this.renewedAt + this.ttl - suspendAwareTime(this.options.clock);
   }
 
   /** Time since the store last renewed the lease, counted from when the renewal was sent. */
   renewalAge(): Milliseconds {
-    return ageingTime(this.options.clock) - this.renewedAt;
+    return suspendAwareTime(this.options.clock) - this.renewedAt;
   }
 
   private take(change: StoreChange): void {
@@ -252,7 +252,7 @@
     const record = change.value === undefined ? undefined : parseNodeRecord(change.value);
     if (record === undefined) {
       this.live.delete(node);
-      this.formats.noteGone(node, ageingTime(this.options.clock));
+      this.formats.noteGone(node, suspendAwareTime(this.options.clock));
     } else {
       this.live.set(node, record);
       this.formats.note(node, record.format);
@@ -270,7 +270,7 @@
   private noteReplica({ key, value }: StoreChange): void {
     const format = value === undefined ? undefined : replicaFormatOf(value);
     if (format !== undefined) this.formats.note(key, format);
-    else if (value === undefined) this.formats.noteGone(key, ageingTime(this.options.clock));
+    else if (value === undefined) this.formats.noteGone(key, suspendAwareTime(this.options.clock));
   }
 
   private get pace(): LeasePace {
@@ -284,7 +284,7 @@
 
   private async renew(): Promise<void> {
     const sentAt = this.options.clock.now();
-    const renewedAt = ageingTime(this.options.clock);
+    const renewedAt = suspendAwareTime(this.options.clock);
     this.triedAt = sentAt;
     this.isRenewing = true;
     const isKept = this.isPaceRight ? await this.keep() : await this.register();
--- a/src/fleet/gateway-node.ts
+++ b/src/fleet/gateway-node.ts
@@ -13,11 +13,11 @@
 import { JobService } from '../jobs/job-service.js';
 import { JobStore } from '../jobs/job-store.js';
 import type { PeerHandler } from '../peers/peer-messages.js';
-import { itemWayCost } from '../placement/distance-costs.js';
+import { itemDistanceCost } from '../placement/distance-costs.js';
 import { JobResidency } from '../placement/job-residency.js';
 import { localitiesOf } from '../placement/locality.js';
 import { type DistanceBetween, ZoneTopology } from '../placement/zone-topology.js';
-import { ConfigurationInForce } from '../serving/active-configuration.js';
+import { ActiveConfiguration } from '../serving/active-configuration.js';
 import type { AnswerSink, CallerRequest } from '../serving/answer-sink.js';
 import { RequestForwarder } from '../serving/request-forwarder.js';
 import { RequestQuarantine } from '../serving/request-quarantine.js';
@@ -39,7 +39,7 @@
 import { JobPlacement } from './job-placement.js';
 import { JobTakeover } from './job-takeover.js';
 import { PeerMonitor, type Suspicion } from './peer-monitor.js';
-import { PeerAnswering } from './peer-request-handler.js';
+import { PeerRequestHandler } from './peer-request-handler.js';
 import { WatchRelay } from './watch-relay.js';
 import { noteWeightChange, type WeightChange } from './weight-changes.js';
 import { WorkerGate } from './worker-gate.js';
@@ -72,7 +72,7 @@
   private readonly gate: WorkerGate;
   readonly registry: WorkerRegistry;
   /** The configuration that this node acts on. */
-  readonly configuration: ConfigurationInForce;
+  readonly configuration: ActiveConfiguration;
   readonly jobs: JobService;
   private readonly forwarder: RequestForwarder;
   private readonly dispatcher: ItemDispatcher;
@@ -138,7 +138,7 @@
     this.relay = relay;
     const store = relay.relayedStore();
     const jobStore = new JobStore(store, clock);
-    this.configuration = new ConfigurationInForce({
+    this.configuration = new ActiveConfiguration({
       ...{ log, metrics },
       isRegionKnown: (region) => topology.hasRegion(region),
     });
@@ -174,7 +174,7 @@
       residency,
     };
     const peers = new FleetPeers(asked);
-    this.peerHandler = new PeerAnswering({
+    this.peerHandler = new PeerRequestHandler({
       ...asked,
       jobs: () => this.jobs,
       relay: () => relay,
@@ -208,7 +208,7 @@
     this.dispatcher = new ItemDispatcher({
       ...sending,
       isStoreSilent: () => this.fleet.isCutOff,
-      wayCost: itemWayCost(topology, servesAlone),
+      wayCost: itemDistanceCost(topology, servesAlone),
     });
     this.jobs = new JobService({
       ...shared,
--- a/src/fleet/gateway-options.ts
+++ b/src/fleet/gateway-options.ts
@@ -9,7 +9,7 @@
 import type { DecisionLog } from '../telemetry/decision-log.js';
 import type { FleetMetrics } from '../telemetry/fleet-metrics.js';
 import type { FeedTranslation } from './fleet-feeds.js';
-import type { DutyOptions } from './singleton-tasks.js';
+import type { SingletonTaskSettings } from './singleton-tasks.js';
 import type { StorageDrainPort } from './storage-drains.js';
 
 /** Times that the operator sets and that may change while a process runs. */
@@ -65,7 +65,7 @@
   /** Processor share of this machine, in cores of ordinary speed. @default 1 */
   readonly capacity?: number;
   /** Duties towards the operator's cloud interface. @default none */
-  readonly duties?: DutyOptions;
+  readonly duties?: SingletonTaskSettings;
   /**
    * Whether each zone serves its own callers, also while it is cut off: jobs are run by nodes and,
    * as far as they have room, workers of the zone that they were handed in at. @default false
--- a/src/fleet/job-takeover.ts
+++ b/src/fleet/job-takeover.ts
@@ -13,7 +13,7 @@
 import type { JobStore, VersionedHead } from '../jobs/job-store.js';
 import type { PeerPort } from '../peers/peer-messages.js';
 import { JOBS_ANYWHERE, type JobResidency, type MayHold } from '../placement/job-residency.js';
-import type { Departure, FleetRegistry } from './fleet-registry.js';
+import type { FleetRegistry, NodeTermination } from './fleet-registry.js';
 import type { JobPlacement } from './job-placement.js';
 
 /** Options of {@link JobTakeover}. */
@@ -91,7 +91,7 @@
   }
 
   /** Scans after a departure, if this node is one of the few that do. */
-  private scanAfter({ node, zone, cause }: Departure): void {
+  private scanAfter({ node, zone, cause }: NodeTermination): void {
     const successors = this.options.placement.successorsIn(zone);
     const nodes = rendezvousOrder(node, successors, (name) => name);
     const rank = nodes.indexOf(this.options.self.node);
--- a/src/fleet/peer-request-handler.ts
+++ b/src/fleet/peer-request-handler.ts
@@ -12,7 +12,7 @@
   PeerRequest,
   PeerRequestOf,
 } from '../peers/peer-messages.js';
-import type { PermitAnswer, PermitWish } from '../placement/cold-permits.js';
+import type { PermitAnswer, PermitRequest } from '../placement/cold-permits.js';
 import type { Clock } from '../serving/clock.js';
 import type { CrashReport } from '../serving/request-quarantine.js';
 import type { UsageSource, WindowCounts } from '../singleton-tasks/usage-counts.js';
@@ -23,8 +23,8 @@
 import type { WatchRelay } from './watch-relay.js';
 import type { WeightChange } from './weight-changes.js';
 
-/** Options of {@link PeerAnswering}. */
-export interface PeerAnsweringOptions {
+/** Options of {@link PeerRequestHandler}. */
+export interface PeerRequestHandlerOptions {
   readonly fleet: FleetRegistry;
   readonly self: JobOwner;
   readonly clock: Clock;
@@ -40,14 +40,14 @@
   /** A worker changes weights, or has. */
   readonly weightChanged: (change: WeightChange) => void;
   /** Called on the coordinator: permits that another node wishes for. */
-  readonly permits: (wishes: readonly PermitWish[]) => PermitAnswer;
+  readonly permits: (wishes: readonly PermitRequest[]) => PermitAnswer;
   /** Whether this zone takes jobs in while the store is out of reach. */
   readonly takesJobsAlone: () => boolean;
 }
 
 /** This node, as the others ask it. */
-export class PeerAnswering implements PeerHandler {
-  constructor(private readonly options: PeerAnsweringOptions) {}
+export class PeerRequestHandler implements PeerHandler {
+  constructor(private readonly options: PeerRequestHandlerOptions) {}
 
   async answer(request: PeerRequest): Promise<PeerAnswers[PeerRequest['kind']] | undefined> {
     const { self, jobs, weightsNeeded } = this.options;
--- a/src/fleet/peer-requester.ts
+++ b/src/fleet/peer-requester.ts
@@ -24,8 +24,8 @@
 /** Nodes that are asked whether they reach the store. */
 const MOST_STORE_PROBES = 4;
 
-/** Options of {@link PeerCalls}. */
-export interface PeerCallsOptions {
+/** Options of {@link PeerRequester}. */
+export interface PeerRequesterOptions {
   readonly port: PeerPort;
   readonly fleet: FleetRegistry;
   readonly self: JobOwner;
@@ -36,8 +36,8 @@
 }
 
 /** Asks other nodes. */
-export class PeerCalls {
-  constructor(private readonly options: PeerCallsOptions) {}
+export class PeerRequester {
+  constructor(private readonly options: PeerRequesterOptions) {}
 
   /** Asks a live node; `undefined` where it is not known. */
   async ask<Kind extends PeerRequest['kind']>(
--- a/src/fleet/prefix-sources.ts
+++ b/src/fleet/prefix-sources.ts
@@ -4,7 +4,7 @@
  */
 import type { NodeId } from '../core/identity.js';
 import type { Milliseconds } from '../core/units.js';
-import { ageingTime, type Clock } from '../serving/clock.js';
+import { type Clock, suspendAwareTime } from '../serving/clock.js';
 import type { DecisionLog } from '../telemetry/decision-log.js';
 
 /** The source of a prefix that comes from the store without a relay. */
@@ -28,7 +28,7 @@
 /** Keeps in mind where the followed prefixes come from. */
 export class PrefixSources {
   private readonly sources = new Map<string, PrefixSource>();
-  /** By {@link ageingTime}. */
+  /** By {@link suspendAwareTime}. */
   private readonly contacts = new Map<string, Milliseconds>();
 
   constructor(private readonly options: PrefixSourcesOptions) {}
@@ -41,12 +41,12 @@
   /** Time since the last contact about a prefix; infinite before the first. */
   contactAge(prefix: string): Milliseconds {
     const contactAt = this.contacts.get(prefix) ?? Number.NEGATIVE_INFINITY;
-    return ageingTime(this.options.clock) - contactAt;
+    return suspendAwareTime(this.options.clock) - contactAt;
   }
 
   /** The store told of a prefix, or another node that was asked answered, whatever it knew. */
   noteContact(prefix: string): void {
-    this.contacts.set(prefix, ageingTime(this.options.clock));
+    this.contacts.set(prefix, suspendAwareTime(this.options.clock));
   }
 
   /** A source told of a prefix. */
--- a/src/fleet/singleton-tasks.ts
+++ b/src/fleet/singleton-tasks.ts
@@ -9,8 +9,8 @@
 import type { Service } from '../serving/traffic-configuration.js';
 import type { WorkerRegistry } from '../serving/worker-registry.js';
 import type { SharedStore } from '../shared-store/shared-store.js';
-import type { DutyPort } from '../singleton-tasks/cloud-port.js';
-import { LargestFleetPolicy } from '../singleton-tasks/scaling-policy.js';
+import type { CloudPort } from '../singleton-tasks/cloud-port.js';
+import { MaxWorkersPolicy } from '../singleton-tasks/scaling-policy.js';
 import {
   UsageCounts,
   type UsageSource,
@@ -18,7 +18,7 @@
 } from '../singleton-tasks/usage-counts.js';
 import { UsageMeter } from '../singleton-tasks/usage-meter.js';
 import { UsageRecords } from '../singleton-tasks/usage-records.js';
-import { UsageReporter, windowsToKeep } from '../singleton-tasks/usage-reporter.js';
+import { retainedWindowCount, UsageReporter } from '../singleton-tasks/usage-reporter.js';
 import { UsageSender } from '../singleton-tasks/usage-sender.js';
 import { UsageWindows } from '../singleton-tasks/usage-windows.js';
 import { WorkerScaler } from '../singleton-tasks/worker-scaler.js';
@@ -27,25 +27,25 @@
 import type { CoordinatorLock } from './coordinator-lock.js';
 
 /** What the operator asks of the fleet beside its requests; settings of a process. */
-export interface DutyOptions {
-  readonly port: DutyPort;
+export interface SingletonTaskSettings {
+  readonly port: CloudPort;
   /** Whether usage is to be reported, and in which windows. */
-  readonly usage: UsageDuty | undefined;
+  readonly usage: UsageReporting | undefined;
   /** Whether workers may be ordered. */
   readonly scalesWorkers: boolean;
 }
 
 /** Reports of usage. */
-export interface UsageDuty {
+export interface UsageReporting {
   /** Length of a window of the time of day. */
   readonly window: Milliseconds;
   /** Time after the end of a window at which its report is due. */
   readonly dueAfter: Milliseconds;
 }
 
-/** Options of {@link FleetDuties}. */
-export interface FleetDutiesOptions {
-  readonly duties: DutyOptions;
+/** Options of {@link SingletonTasks}. */
+export interface SingletonTasksOptions {
+  readonly duties: SingletonTaskSettings;
   readonly lock: CoordinatorLock;
   readonly store: SharedStore;
   readonly self: JobOwner;
@@ -71,16 +71,16 @@
 }
 
 /** The duties as one node takes part in them. */
-export class FleetDuties {
+export class SingletonTasks {
   private readonly usage: UsageParts | undefined;
   private readonly scaler: WorkerScaler | undefined;
 
-  constructor(private readonly options: FleetDutiesOptions) {
+  constructor(private readonly options: SingletonTasksOptions) {
     const { duties, self } = options;
     const shared = { ...options, port: duties.port, node: self.node };
     if (duties.usage !== undefined) this.usage = this.joinUsage(duties.usage);
     if (duties.scalesWorkers) {
-      this.scaler = new WorkerScaler({ ...shared, policy: new LargestFleetPolicy(options.clock) });
+      this.scaler = new WorkerScaler({ ...shared, policy: new MaxWorkersPolicy(options.clock) });
     }
   }
 
@@ -110,11 +110,11 @@
     await this.usage?.sender.finish();
   }
 
-  private joinUsage({ window, dueAfter }: UsageDuty): UsageParts {
+  private joinUsage({ window, dueAfter }: UsageReporting): UsageParts {
     const { options } = this;
     const { clock, lock, log, self, store, isFirstStart } = options;
     const windows = new UsageWindows(clock, window);
-    const meter = new UsageMeter(windows, windowsToKeep(dueAfter, window) + 1);
+    const meter = new UsageMeter(windows, retainedWindowCount(dueAfter, window) + 1);
     const gathered = new UsageCounts();
     const records = new UsageRecords(store, (key) => log.state('record-unreadable', { key }));
     const { node, incarnation: source } = self;
--- a/src/fleet/submission-router.ts
+++ b/src/fleet/submission-router.ts
@@ -17,7 +17,7 @@
 import type { Clock } from '../serving/clock.js';
 import type { FleetRegistry } from './fleet-registry.js';
 import type { JobPlacement } from './job-placement.js';
-import type { PeerCalls } from './peer-requester.js';
+import type { PeerRequester } from './peer-requester.js';
 
 /**
  * Time for all nodes together to which a job is offered: in an outage of the store the first of them
@@ -43,7 +43,7 @@
 
 /** Options of {@link SubmissionRouter}. */
 export interface SubmissionRouterOptions {
-  readonly calls: PeerCalls;
+  readonly calls: PeerRequester;
   readonly fleet: FleetRegistry;
   readonly placement: JobPlacement;
   readonly self: JobOwner;
--- a/src/fleet/watch-relay.ts
+++ b/src/fleet/watch-relay.ts
@@ -10,7 +10,7 @@
 import type { NodeId } from '../core/identity.js';
 import type { Milliseconds, Revision } from '../core/units.js';
 import type { PeerAnswers, PeerPort, PeerRequestOf } from '../peers/peer-messages.js';
-import { ageingTime } from '../serving/clock.js';
+import { suspendAwareTime } from '../serving/clock.js';
 import type {
   SharedStore,
   StoreRangeOutcome,
@@ -89,7 +89,7 @@
   private readonly sources: PrefixSources;
   /** Prefixes for which no relay helped a moment ago: their next list is the store's. */
   private readonly withoutRelay = new Set<string>();
-  /** When the store last failed a list or watch of this node, by {@link ageingTime}. */
+  /** When the store last failed a list or watch of this node, by {@link suspendAwareTime}. */
   private failedAt: Milliseconds = Number.NEGATIVE_INFINITY;
 
   constructor(private readonly options: WatchRelayOptions) {
@@ -272,7 +272,7 @@
     prefix: string,
     outcome: Outcome,
   ): Outcome {
-    if (outcome.kind === 'failed') this.failedAt = ageingTime(this.options.clock);
+    if (outcome.kind === 'failed') this.failedAt = suspendAwareTime(this.options.clock);
     else if (outcome.kind !== 'compacted') this.noteHeard(prefix, STORE_SOURCE);
     return outcome;
   }
@@ -282,7 +282,7 @@
    * meanwhile, and what they hear is not lost to this node.
    */
   private get isTurnedAway(): boolean {
-    const age = ageingTime(this.options.clock) - this.failedAt;
+    const age = suspendAwareTime(this.options.clock) - this.failedAt;
     return this.options.fleet().renewalAge() > age;
   }
 
--- a/src/fleet/weight-changes.ts
+++ b/src/fleet/weight-changes.ts
@@ -4,7 +4,7 @@
  */
 import type { ModelName } from '../core/identity.js';
 import type { Milliseconds, WeightVersion } from '../core/units.js';
-import { lifeOf, type WorkerLife } from '../serving/worker-incarnation.js';
+import { type WorkerIncarnation, workerIncarnationOf } from '../serving/worker-incarnation.js';
 import type { WorkerRegistry } from '../serving/worker-registry.js';
 
 /**
@@ -16,7 +16,7 @@
 /** A worker that changes the weights of a model, or has. */
 export interface WeightChange {
   readonly worker: string;
-  readonly life: WorkerLife;
+  readonly life: WorkerIncarnation;
   readonly model: ModelName;
   readonly version: WeightVersion;
   readonly state: 'loading' | 'loaded';
@@ -29,7 +29,7 @@
   now: Milliseconds,
 ): void {
   const worker = registry.get(change.worker);
-  if (worker === undefined || lifeOf(worker.record) !== change.life) return;
+  if (worker === undefined || workerIncarnationOf(worker.record) !== change.life) return;
   if (change.state === 'loaded') worker.noteVersion(change.model, change.version);
   else worker.noteLoading(change.model, now + LOAD_TIME);
 }
--- a/src/fleet/weight-rollout.ts
+++ b/src/fleet/weight-rollout.ts
@@ -18,7 +18,7 @@
   WeightOrderMode,
 } from '../serving/engine-port.js';
 import type { ServiceName } from '../serving/traffic-configuration.js';
-import { lifeOf } from '../serving/worker-incarnation.js';
+import { workerIncarnationOf } from '../serving/worker-incarnation.js';
 import type { KnownWorker, WorkerRegistry } from '../serving/worker-registry.js';
 import type { DecisionLog } from '../telemetry/decision-log.js';
 import type { FleetMetrics } from '../telemetry/fleet-metrics.js';
@@ -242,7 +242,13 @@
     state: WeightChange['state'],
   ): void {
     const { record } = worker;
-    this.options.noteChange({ worker: record.id, life: lifeOf(record), model, version, state });
+    this.options.noteChange({
+      worker: record.id,
+      life: workerIncarnationOf(record),
+      model,
+      version,
+      state,
+    });
   }
 
   /** Asks until the worker holds the version, or shows that it does nothing about it. */
--- a/src/fleet/worker-gate.ts
+++ b/src/fleet/worker-gate.ts
@@ -4,11 +4,11 @@
  */
 import type { NodeId, ZoneName } from '../core/identity.js';
 import type { Milliseconds, Revision } from '../core/units.js';
-import type { PermitAnswer, PermitWish } from '../placement/cold-permits.js';
+import type { PermitAnswer, PermitRequest } from '../placement/cold-permits.js';
 import { GuardedEngine } from '../placement/guarded-engine.js';
 import { ResidencyRule } from '../placement/residency-rule.js';
 import { SendRules } from '../placement/send-rules.js';
-import { EvacuationBelief } from '../placement/stale-evacuation-rule.js';
+import { StaleEvacuationRule } from '../placement/stale-evacuation-rule.js';
 import { ZoneEvacuations } from '../placement/zone-evacuations.js';
 import type { ZoneTopology } from '../placement/zone-topology.js';
 import type { EnginePort } from '../serving/engine-port.js';
@@ -35,7 +35,7 @@
   readonly fencingToken: () => Revision | undefined;
   readonly askForPermits: (
     node: NodeId,
-    wishes: readonly PermitWish[],
+    wishes: readonly PermitRequest[],
   ) => Promise<PermitAnswer | undefined>;
   /** Called when some worker may be sent more than before. */
   readonly freed: () => void;
@@ -47,14 +47,14 @@
   /** Workers behind the rules. */
   readonly engine: EnginePort;
   private readonly evacuations = new ZoneEvacuations();
-  private readonly evacuationBelief: EvacuationBelief;
+  private readonly evacuationBelief: StaleEvacuationRule;
   private readonly coldWorkers: ColdWorkers;
 
   constructor(private readonly options: WorkerGateOptions) {
     const { node, topology, contactAge, hasPeers } = options;
     const { log, metrics, engine } = node;
     const limit = (): Milliseconds | undefined => evacuationAgeLimit(node.timings());
-    this.evacuationBelief = new EvacuationBelief({ limit, contactAge, hasPeers, log });
+    this.evacuationBelief = new StaleEvacuationRule({ limit, contactAge, hasPeers, log });
     this.coldWorkers = new ColdWorkers({
       ...options,
       ...{ self: node.node, clock: node.clock, log, metrics, tolerance: node.coldTolerance },
@@ -105,7 +105,7 @@
   }
 
   /** Answers another node's wishes for permits to send to cold workers. */
-  answerWishes(wishes: readonly PermitWish[]): PermitAnswer {
+  answerWishes(wishes: readonly PermitRequest[]): PermitAnswer {
     return this.coldWorkers.answer(wishes);
   }
 
--- a/src/jobs/item-dispatcher.ts
+++ b/src/jobs/item-dispatcher.ts
@@ -2,7 +2,7 @@
 
 import type { Milliseconds } from '../core/units.js';
 import type { AllowedRegions } from '../placement/allowed-regions.js';
-import type { WayCost } from '../placement/distance-costs.js';
+import type { DistanceCost } from '../placement/distance-costs.js';
 import { MOST_ENDED_WORKERS } from '../serving/crash-evidence.js';
 import type { RouteMatcher } from '../serving/route-matcher.js';
 import type { SendingOptions } from '../serving/sending-options.js';
@@ -27,7 +27,7 @@
    */
   readonly isStoreSilent: () => boolean;
   /** What the way to a worker of a zone costs. @default all workers are as near */
-  readonly wayCost?: WayCost | undefined;
+  readonly wayCost?: DistanceCost | undefined;
 }
 
 /** Silence after which a run is given up. Loading weights may pause a worker for a second. */
--- a/src/jobs/item-progress.ts
+++ b/src/jobs/item-progress.ts
@@ -1,10 +1,10 @@
 /** What has been made of one item: the data of its events and the weights that made them. */
 import type { WeightVersion } from '../core/units.js';
 import type { StreamEvent } from '../serving/event-stream.js';
-import type { JobResult, KeptProgress } from './job-records.js';
+import type { JobResult, StoredProgress } from './job-records.js';
 
 /** What an item kept in the shared store or handed on looks like. */
-export type KeptItem = KeptProgress[string];
+export type KeptItem = StoredProgress[string];
 
 /** Whether an event could be added. */
 export type EventVerdict = 'added' | 'out-of-order' | 'version-too-old' | 'version-mixed';
--- a/src/jobs/item-scoring.ts
+++ b/src/jobs/item-scoring.ts
@@ -1,6 +1,6 @@
 /** The calls for the score of one item, at one or two workers at a time. */
 import type { Milliseconds } from '../core/units.js';
-import { AskedRequest } from '../serving/request-fingerprint.js';
+import { FingerprintedRequest } from '../serving/request-fingerprint.js';
 import type { ScoreRequest } from './job-records.js';
 
 /** The state of an item's calls for its score. */
@@ -12,11 +12,11 @@
   /** Nothing is sent before this time. */
   notBefore: Milliseconds = 0;
   /** What the calls ask of workers. */
-  readonly asked: AskedRequest;
+  readonly asked: FingerprintedRequest;
   private readonly calls = new Map<AbortController, Milliseconds>();
 
   constructor({ host, path, body }: ScoreRequest) {
-    this.asked = new AskedRequest(() => ({
+    this.asked = new FingerprintedRequest(() => ({
       method: 'POST',
       host,
       path,
--- a/src/jobs/item-work-cache.ts
+++ b/src/jobs/item-work-cache.ts
@@ -12,13 +12,13 @@
 import type { OwnedJob } from './owned-job.js';
 
 /** What is kept of one item. */
-export type KeptWork =
+export type ItemWork =
   | { readonly kind: 'unfinished'; readonly progress: KeptItem }
   | { readonly kind: 'finished'; readonly result: JobResult };
 
 /** Kept work with the digests of what was asked. */
 export interface DigestedWork {
-  readonly work: KeptWork;
+  readonly work: ItemWork;
   /** Of headers and body, so that an id that is used for something else is not mistaken. */
   readonly digest: string;
   /** Of the request for the score: a score is the answer to that request alone. */
@@ -38,7 +38,7 @@
 }
 
 /** Keeps work by item id. */
-export class KeptItems {
+export class ItemWorkCache {
   private readonly entries = new Map<string, Entry>();
 
   constructor(private readonly clock: Clock) {}
@@ -58,7 +58,7 @@
   }
 
   /** What is kept of an item; a digest of the request must agree. */
-  find(item: JobItem): KeptWork | undefined {
+  find(item: JobItem): ItemWork | undefined {
     const entry = this.findById(item.id);
     return entry === undefined ? undefined : workFor(entry, item);
   }
@@ -75,7 +75,7 @@
     return { work, digest, scoreDigest };
   }
 
-  private keepItem(item: JobItem, work: KeptWork, origin: JobOrigin): void {
+  private keepItem(item: JobItem, work: ItemWork, origin: JobOrigin): void {
     this.entries.delete(item.id);
     this.entries.set(item.id, { ...digested(work, item), keptAt: this.clock.now(), origin });
   }
@@ -90,12 +90,12 @@
 }
 
 /** Work on an item with the digests of what was asked. */
-export function digested(work: KeptWork, item: JobItem): DigestedWork {
+export function digested(work: ItemWork, item: JobItem): DigestedWork {
   return { work, digest: digestOf(item), scoreDigest: scoreDigestOf(item) };
 }
 
 /** How far work on an item got, to compare with other work on it. */
-export function extentOf(work: KeptWork | undefined): number {
+export function extentOf(work: ItemWork | undefined): number {
   if (work === undefined) return 0;
   if (work.kind === 'finished' || work.progress.isWhole === true) return Number.POSITIVE_INFINITY;
   return work.progress.events.length;
@@ -105,7 +105,7 @@
  * What kept work is worth to an item: nothing if it was another request; the text alone, to be
  * scored anew, if the score was asked for by another request.
  */
-export function workFor(kept: DigestedWork, item: JobItem): KeptWork | undefined {
+export function workFor(kept: DigestedWork, item: JobItem): ItemWork | undefined {
   if (kept.digest !== digestOf(item)) return undefined;
   const { work } = kept;
   if (work.kind === 'unfinished' || kept.scoreDigest === scoreDigestOf(item)) return work;
@@ -120,7 +120,7 @@
 function workOf(
   result: JobResult | undefined,
   progress: KeptItem | undefined,
-): KeptWork | undefined {
+): ItemWork | undefined {
   if (result?.state === 'completed') return { kind: 'finished', result };
   return progress === undefined ? undefined : { kind: 'unfinished', progress };
 }
--- a/src/jobs/job-listing.ts
+++ b/src/jobs/job-listing.ts
@@ -5,9 +5,9 @@
  */
 import type { Milliseconds } from '../core/units.js';
 import type { JobJournal } from '../journal/job-journal.js';
-import { ageingTime, type Clock } from '../serving/clock.js';
+import { type Clock, suspendAwareTime } from '../serving/clock.js';
 import { FleetMetrics } from '../telemetry/fleet-metrics.js';
-import type { JobOwner, JobResult, JobSpecification, KeptProgress } from './job-records.js';
+import type { JobOwner, JobResult, JobSpecification, StoredProgress } from './job-records.js';
 import type { HeadChange, JobStore, StillWanted, VersionedHead } from './job-store.js';
 import { JOURNAL_DELAY, type ListingChange, ListingWriter } from './listing-writer.js';
 import { firstPageOf } from './value-limits.js';
@@ -55,7 +55,7 @@
   readonly store: JobStore;
   readonly clock: Clock;
   /** What was made of unfinished items, as much as the store holds. */
-  readonly progress: () => KeptProgress;
+  readonly progress: () => StoredProgress;
   /** Whether the job is still run here. */
   readonly isOpen: () => boolean;
   /** The job is no longer run here, for this reason. */
@@ -72,7 +72,7 @@
   /** Pages whose results are all listed. */
   private listedPages: number;
   private lastListingAt: Milliseconds = Number.NEGATIVE_INFINITY;
-  /** By {@link ageingTime}, as others may act while this machine is suspended. */
+  /** By {@link suspendAwareTime}, as others may act while this machine is suspended. */
   private confirmedAt: Milliseconds;
   /** Whether an end is on its way, and whether one is kept. */
   private isEnding = false;
@@ -98,7 +98,7 @@
     const pages = resumed.flatMap((change) => (change.kind === 'page' ? [change.results] : []));
     this.listed.push(...listed, ...pages.flat());
     this.listedPages = (head?.head.pages ?? 0) + pages.length;
-    this.confirmedAt = ageingTime(clock);
+    this.confirmedAt = suspendAwareTime(clock);
   }
 
   /** Sends on what the journal kept for an earlier owner; that may have ended the job. */
@@ -135,7 +135,7 @@
 
   /** Time since it was last confirmed that the job is this node's. */
   confirmationAge(): Milliseconds {
-    return ageingTime(this.options.clock) - this.confirmedAt;
+    return suspendAwareTime(this.options.clock) - this.confirmedAt;
   }
 
   /** Takes a result; it is listed with the next page. */
@@ -146,13 +146,13 @@
   /** The store has taken the job: results may be listed from now on. */
   attach(head: VersionedHead): void {
     this.writer.take(head);
-    this.confirmedAt = ageingTime(this.options.clock);
+    this.confirmedAt = suspendAwareTime(this.options.clock);
   }
 
   /** The zone's journal has taken the job, and the store not yet: results may be listed. */
   attachByJournal(): void {
     this.isKeptByJournal = true;
-    this.confirmedAt = ageingTime(this.options.clock);
+    this.confirmedAt = suspendAwareTime(this.options.clock);
   }
 
   /** Does what is due: lists results, or confirms the job. Called often. */
@@ -251,7 +251,7 @@
     const batch = firstPageOf(this.pending);
     if (batch.length === 0 || !isOpen() || !this.mayList) return false;
     this.lastListingAt = clock.now();
-    const startedAt = ageingTime(clock);
+    const startedAt = suspendAwareTime(clock);
     const isListed = await this.writer.list(batch);
     if (isListed) {
       this.pending = this.pending.filter((result) => !batch.includes(result));
@@ -269,7 +269,7 @@
   /** Makes sure, by the store or while that is silent by the journal, that the job is still run here. */
   private async verify(): Promise<void> {
     const { clock, journaled, isOpen } = this.options;
-    const startedAt = ageingTime(clock);
+    const startedAt = suspendAwareTime(clock);
     const byStore = this.writer.isBusy ? undefined : this.verifyAtStore(startedAt);
     if (journaled.journal === undefined) return byStore;
     await Promise.race([byStore, clock.sleep(byStore === undefined ? 0 : JOURNAL_DELAY)]);
--- a/src/jobs/job-peers.ts
+++ b/src/jobs/job-peers.ts
@@ -30,7 +30,7 @@
   | { readonly kind: 'here'; readonly mayRunElsewhere: boolean };
 
 /** What a likely owner told of an item. */
-export interface OwnedBody {
+export interface OwnerItemBody {
   /** The tenant that submitted the job. */
   readonly tenant: TenantName | undefined;
   /** Base64; `undefined` where the job has no such item. */
@@ -38,7 +38,7 @@
 }
 
 /** What another node answered in this one's place; no failure means that it was done. */
-export interface PassedOn {
+export interface ForwardedOutcome {
   readonly failure: Failure | undefined;
 }
 
@@ -60,7 +60,7 @@
   /** Lives of nodes that probably run a job, the likeliest first, without this node. */
   likelyOwners(job: string): readonly JobOwner[];
   /** Has a likely owner tell the body of an item; `undefined` where none does. */
-  bodyAtOwner(job: string, item: string): Promise<OwnedBody | undefined>;
+  bodyAtOwner(job: string, item: string): Promise<OwnerItemBody | undefined>;
   /**
    * Has the node that is to run a job take it in, or where this node does not reach the store one
    * that does.
@@ -76,7 +76,7 @@
     wait: Milliseconds,
     caller: CallerIdentity,
   ): Promise<ResultSlice | Failure | undefined>;
-  endElsewhere(job: string, caller: CallerIdentity): Promise<PassedOn | undefined>;
+  endElsewhere(job: string, caller: CallerIdentity): Promise<ForwardedOutcome | undefined>;
   /** Offers a released job to another node that may hold it. */
   handOver(job: string, allowed?: AllowedRegions): Promise<void>;
   /** Has a node that may hold a job take it from a live owner; tells whether one did. */
--- a/src/jobs/job-records.ts
+++ b/src/jobs/job-records.ts
@@ -128,7 +128,7 @@
 /** Results at successive positions; never changes once written. */
 export type ResultPage = z.infer<typeof PAGE>;
 /** What was made of items that are not listed yet, by item. */
-export type KeptProgress = z.infer<typeof PROGRESS>;
+export type StoredProgress = z.infer<typeof PROGRESS>;
 
 const HEADS = 'job/head/';
 const SPECIFICATIONS = 'job/spec/';
@@ -174,7 +174,7 @@
 /** Reads a page; `undefined` where the text is none. */
 export const decodePage = (text: string): ResultPage | undefined => decode(PAGE, text);
 /** Reads kept progress; `undefined` where the text is none. */
-export const decodeProgress = (text: string): KeptProgress | undefined => decode(PROGRESS, text);
+export const decodeProgress = (text: string): StoredProgress | undefined => decode(PROGRESS, text);
 
 /** Whether nothing is left to run for a job. */
 export function isFinished(head: JobHead): boolean {
--- a/src/jobs/job-store.ts
+++ b/src/jobs/job-store.ts
@@ -19,7 +19,7 @@
   type JobHead,
   type JobResult,
   type JobSpecification,
-  type KeptProgress,
+  type StoredProgress,
 } from './job-records.js';
 
 /** A head and the revision that it was read at. */
@@ -85,7 +85,7 @@
     job: string,
     base: VersionedHead,
     results: readonly JobResult[],
-    progress: KeptProgress | undefined,
+    progress: StoredProgress | undefined,
     wanted: StillWanted,
   ): Promise<HeadChange> {
     return this.extend(job, base, { pages: [results], ended: false }, progress, wanted);
@@ -96,7 +96,7 @@
     job: string,
     base: VersionedHead,
     extension: JobExtension,
-    progress: KeptProgress | undefined,
+    progress: StoredProgress | undefined,
     wanted: StillWanted,
   ): Promise<HeadChange> {
     const puts: StorePut[] = [];
@@ -118,7 +118,7 @@
     base: VersionedHead,
     fields: Partial<HeadFields>,
     wanted: StillWanted,
-    progress?: KeptProgress,
+    progress?: StoredProgress,
   ): Promise<HeadChange> {
     const puts = progress === undefined ? [] : [progressPut(job, progress)];
     return this.change(job, base.revision, { ...base.head, ...fields }, puts, wanted);
@@ -168,7 +168,7 @@
   }
 
   /** Reads what an earlier owner kept of unfinished items. */
-  async progress(job: string): Promise<Read<KeptProgress>> {
+  async progress(job: string): Promise<Read<StoredProgress>> {
     const outcome = await this.store.get(JOB_KEYS.progress(job));
     if (outcome.kind === 'failed') return { kind: 'unavailable' };
     const progress = outcome.item === undefined ? undefined : decodeProgress(outcome.item.value);
@@ -228,6 +228,6 @@
 /** Keys that one commit removes at most. */
 const REMOVALS_A_COMMIT = 30;
 
-function progressPut(job: string, progress: KeptProgress): StorePut {
+function progressPut(job: string, progress: StoredProgress): StorePut {
   return { key: JOB_KEYS.progress(job), value: JSON.stringify(progress) };
 }
--- a/src/jobs/listing-writer.ts
+++ b/src/jobs/listing-writer.ts
@@ -12,7 +12,7 @@
 import type { JournalEntry } from '../journal/journal-entries.js';
 import type { Clock } from '../serving/clock.js';
 import type { FleetMetrics } from '../telemetry/fleet-metrics.js';
-import type { JobResult, KeptProgress } from './job-records.js';
+import type { JobResult, StoredProgress } from './job-records.js';
 import type { HeadChange, JobStore, VersionedHead } from './job-store.js';
 
 /** One change of a job. */
@@ -39,7 +39,7 @@
   readonly journal: JobJournal | undefined;
   readonly metrics: FleetMetrics;
   /** What was made of unfinished items, kept with each commit. */
-  readonly progress: () => KeptProgress;
+  readonly progress: () => StoredProgress;
   /** Whether commits are still to be repeated that only the store would keep. */
   readonly isWanted: () => boolean;
   /** Whether a change by another node leaves this one the owner of all that is listed. */
--- a/src/jobs/owned-item.ts
+++ b/src/jobs/owned-item.ts
@@ -1,6 +1,6 @@
 /** Where one item of a job stands at the node that runs the job. */
 import type { Milliseconds } from '../core/units.js';
-import { AskedRequest } from '../serving/request-fingerprint.js';
+import { FingerprintedRequest } from '../serving/request-fingerprint.js';
 import { ItemProgress, type VersionRule } from './item-progress.js';
 import type { ItemRun } from './item-run.js';
 import type { ItemScoring } from './item-scoring.js';
@@ -17,7 +17,7 @@
   readonly item: JobItem;
   readonly progress: ItemProgress;
   /** What its runs ask of workers; the same at each node that runs the job, and in a later job. */
-  readonly asked: AskedRequest;
+  readonly asked: FingerprintedRequest;
   state: OwnedItemState;
   run: ItemRun | undefined;
   /** Not sent again before this time. */
@@ -42,7 +42,7 @@
   rule: VersionRule,
   { host, tenant }: Pick<JobSpecification, 'host' | 'tenant'>,
 ): OwnedItem {
-  const asked = new AskedRequest(() => ({
+  const asked = new FingerprintedRequest(() => ({
     method: 'POST',
     host,
     path: item.path,
--- a/src/jobs/owned-job.ts
+++ b/src/jobs/owned-job.ts
@@ -6,9 +6,9 @@
 import type { Milliseconds } from '../core/units.js';
 import type { Clock } from '../serving/clock.js';
 import { fitsVersions, type VersionRule } from './item-progress.js';
-import type { KeptWork } from './item-work-cache.js';
+import type { ItemWork } from './item-work-cache.js';
 import { JobListing, type JournaledWork, type OwnershipEnd } from './job-listing.js';
-import type { JobOwner, JobResult, JobSpecification, KeptProgress } from './job-records.js';
+import type { JobOwner, JobResult, JobSpecification, StoredProgress } from './job-records.js';
 import type { JobStore, StillWanted, VersionedHead } from './job-store.js';
 import { cancelWork, lacksText, newOwnedItem, type OwnedItem } from './owned-item.js';
 import { storableProgress } from './value-limits.js';
@@ -40,7 +40,7 @@
     self: JobOwner,
     store: JobStore,
     clock: Clock,
-    kept: ReadonlyMap<string, KeptWork> = new Map(),
+    kept: ReadonlyMap<string, ItemWork> = new Map(),
     journaled: JournaledWork = {},
   ) {
     this.listing = new JobListing({
@@ -62,7 +62,7 @@
   }
 
   /** Takes over what was made of an item before, if its weights fit. */
-  private takeOver(entry: OwnedItem, kept: KeptWork | undefined, rule: VersionRule): void {
+  private takeOver(entry: OwnedItem, kept: ItemWork | undefined, rule: VersionRule): void {
     if (kept?.kind === 'unfinished' && entry.progress.restore(kept.progress)) {
       if (entry.progress.isWhole) this.completeText(entry);
     }
@@ -233,8 +233,8 @@
   }
 
   /** What was made of unfinished items, so that another node can go on from there. */
-  keptProgress(): KeptProgress {
-    const kept: KeptProgress = {};
+  keptProgress(): StoredProgress {
+    const kept: StoredProgress = {};
     for (const [id, entry] of this.items) {
       const progress = entry.state === 'done' ? undefined : entry.progress.toKept();
       if (progress !== undefined) kept[id] = progress;
--- a/src/jobs/owned-jobs.ts
+++ b/src/jobs/owned-jobs.ts
@@ -11,8 +11,8 @@
   type DigestedWork,
   digested,
   extentOf,
-  KeptItems,
-  type KeptWork,
+  type ItemWork,
+  ItemWorkCache,
   workFor,
 } from './item-work-cache.js';
 import type { JournaledWork } from './job-listing.js';
@@ -22,7 +22,7 @@
   type JobOwner,
   type JobResult,
   type JobSpecification,
-  type KeptProgress,
+  type StoredProgress,
 } from './job-records.js';
 import type { JobStore, VersionedHead } from './job-store.js';
 import { OwnedJob } from './owned-job.js';
@@ -50,12 +50,12 @@
 /** Jobs by id. */
 export class OwnedJobs {
   private readonly jobs = new Map<string, OwnedJob>();
-  private readonly kept: KeptItems;
+  private readonly kept: ItemWorkCache;
   private readonly residency: JobResidency;
 
   constructor(private readonly options: OwnedJobsOptions) {
     this.residency = options.residency ?? JOBS_ANYWHERE;
-    this.kept = new KeptItems(options.clock);
+    this.kept = new ItemWorkCache(options.clock);
   }
 
   /** All of them. */
@@ -79,7 +79,7 @@
     spec: JobSpecification,
     head: VersionedHead,
     listed: readonly JobResult[],
-    kept: ReadonlyMap<string, KeptWork>,
+    kept: ReadonlyMap<string, ItemWork>,
     journaled: JournaledWork = {},
   ): void {
     const job = this.makeJob(spec, head, listed, kept, journaled);
@@ -91,7 +91,7 @@
   /** Runs the items of a job that the store has not taken yet; nothing is listed. */
   startEarly(
     spec: JobSpecification,
-    kept: ReadonlyMap<string, KeptWork>,
+    kept: ReadonlyMap<string, ItemWork>,
     journaled: JournaledWork = {},
   ): OwnedJob {
     const job = this.makeJob(spec, undefined, [], kept, journaled);
@@ -141,14 +141,14 @@
   /** What earlier owners and earlier jobs made of the items, here and elsewhere. */
   keptWork(
     spec: JobSpecification,
-    progress: KeptProgress,
+    progress: StoredProgress,
     elsewhere: ReadonlyMap<string, DigestedWork> = new Map(),
-  ): Map<string, KeptWork> {
-    const kept = new Map<string, KeptWork>();
+  ): Map<string, ItemWork> {
+    const kept = new Map<string, ItemWork>();
     for (const item of spec.items) {
       const own = progress[item.id];
       const other = elsewhere.get(item.id);
-      const here: KeptWork | undefined =
+      const here: ItemWork | undefined =
         own === undefined ? this.kept.find(item) : { kind: 'unfinished', progress: own };
       const there = other === undefined ? undefined : workFor(other, item);
       const work = extentOf(there) > extentOf(here) ? there : here;
@@ -185,7 +185,7 @@
     spec: JobSpecification,
     head: VersionedHead | undefined,
     listed: readonly JobResult[],
-    kept: ReadonlyMap<string, KeptWork>,
+    kept: ReadonlyMap<string, ItemWork>,
     journaled: JournaledWork,
   ): OwnedJob {
     const { store, clock, self, metrics } = this.options;
--- a/src/jobs/placement-round.ts
+++ b/src/jobs/placement-round.ts
@@ -3,7 +3,7 @@
  * not change from item to item (the median pace, which workers have room) is worked out once.
  */
 import type { Milliseconds } from '../core/units.js';
-import type { WayCost } from '../placement/distance-costs.js';
+import type { DistanceCost } from '../placement/distance-costs.js';
 import { SendRules } from '../placement/send-rules.js';
 import type { KnownWorker } from '../serving/worker-registry.js';
 import { type ItemNeeds, mayRun, medianPace, placementScore } from './item-placement.js';
@@ -34,7 +34,7 @@
   constructor(
     workers: readonly KnownWorker[],
     private readonly now: Milliseconds,
-    private readonly wayCost?: WayCost,
+    private readonly wayCost?: DistanceCost,
     private readonly rules: SendRules = new SendRules(),
   ) {
     this.median = medianPace(workers);
--- a/src/jobs/value-limits.ts
+++ b/src/jobs/value-limits.ts
@@ -2,7 +2,7 @@
  * How much of a job goes into one value of the shared store, which holds 1 MiB. A larger commit
  * would be refused however often it is repeated.
  */
-import type { JobResult, KeptProgress } from './job-records.js';
+import type { JobResult, StoredProgress } from './job-records.js';
 
 /** Bytes of text that one page of results holds beyond its first result. */
 const MAXIMUM_PAGE_BYTES = 400_000;
@@ -23,15 +23,15 @@
 }
 
 /** As much of some progress as one value holds: whole texts and the longest first. */
-export function storableProgress(progress: KeptProgress): KeptProgress {
+export function storableProgress(progress: StoredProgress): StoredProgress {
   const entries = Object.entries(progress).map(([id, kept]) => ({
     id,
     kept,
     bytes: kept.events.reduce((sum, event) => sum + Buffer.byteLength(event), 0),
   }));
-  const wholeRank = (kept: KeptProgress[string]): number => (kept.isWhole === true ? 1 : 0);
+  const wholeRank = (kept: StoredProgress[string]): number => (kept.isWhole === true ? 1 : 0);
   entries.sort((a, b) => wholeRank(b.kept) - wholeRank(a.kept) || b.bytes - a.bytes);
-  const stored: KeptProgress = {};
+  const stored: StoredProgress = {};
   let total = 0;
   for (const { id, kept, bytes } of entries) {
     if (total + bytes > MAXIMUM_KEPT_BYTES) continue;
--- a/src/journal/job-journal.ts
+++ b/src/journal/job-journal.ts
@@ -15,7 +15,7 @@
   keyOfEntry,
   type ReplicaAnswer,
 } from './journal-entries.js';
-import type { ReplicaPlace } from './replica-location.js';
+import type { ReplicaLocation } from './replica-location.js';
 
 /**
  * Time for an answer: replicas are in the zone of the owner (0.2 ms away) and sync a disk (some ms);
@@ -27,7 +27,7 @@
 export interface JournalOptions {
   readonly port: PeerPort;
   readonly metrics: FleetMetrics;
-  readonly replicas: readonly ReplicaPlace[];
+  readonly replicas: readonly ReplicaLocation[];
   readonly holder: JournalHolder;
 }
 
@@ -35,7 +35,7 @@
  * What became of an entry. `kept`: all replicas have it; `lost`: another owner writes the job now;
  * `unsure`: some replica did not answer or could not write, and may do so when asked again.
  */
-export type KeepOutcome = 'kept' | 'lost' | 'unsure';
+export type AppendOutcome = 'kept' | 'lost' | 'unsure';
 
 /** What a claim came to. */
 export type ClaimOutcome =
@@ -56,7 +56,7 @@
   constructor(private readonly options: JournalOptions) {}
 
   /** The replicas of the job, for its head. */
-  get replicas(): readonly ReplicaPlace[] {
+  get replicas(): readonly ReplicaLocation[] {
     return this.options.replicas;
   }
 
@@ -99,7 +99,7 @@
   }
 
   /** Has all replicas keep entries; without any: whether this owner could still write. */
-  async keep(entries: readonly JournalEntry[]): Promise<KeepOutcome> {
+  async keep(entries: readonly JournalEntry[]): Promise<AppendOutcome> {
     const { holder } = this.options;
     if (this.isLost) return 'lost';
     if (entries.length > 0 && !this.takesEntries) return 'unsure';
--- a/src/journal/replica-directory.ts
+++ b/src/journal/replica-directory.ts
@@ -6,10 +6,10 @@
 import { rendezvousOrder } from '../core/hashing.js';
 import type { NodeId, ZoneName } from '../core/identity.js';
 import type { Milliseconds } from '../core/units.js';
-import { ageingTime, type Clock } from '../serving/clock.js';
+import { type Clock, suspendAwareTime } from '../serving/clock.js';
 import type { StoreChange } from '../shared-store/shared-store.js';
-import type { ReplicaPlace } from './replica-location.js';
-import { parseReplicaPlace, REPLICA_PREFIX } from './replica-record.js';
+import type { ReplicaLocation } from './replica-location.js';
+import { parseReplicaLocation, REPLICA_PREFIX } from './replica-record.js';
 
 /**
  * Key prefix of the zones that have a journal. Such a key stays: a gateway that starts while a zone is
@@ -27,8 +27,8 @@
 const MEMORY_AFTER_LAPSE: Milliseconds = 600_000;
 
 interface KnownReplica {
-  readonly place: ReplicaPlace;
-  /** By {@link ageingTime}; infinite while its record is there. */
+  readonly place: ReplicaLocation;
+  /** By {@link suspendAwareTime}; infinite while its record is there. */
   lapsedAt: Milliseconds;
 }
 
@@ -58,10 +58,10 @@
     const node = key.slice(REPLICA_PREFIX.length);
     if (value === undefined) {
       const known = this.replicas.get(node);
-      if (known !== undefined) known.lapsedAt = ageingTime(this.options.clock);
+      if (known !== undefined) known.lapsedAt = suspendAwareTime(this.options.clock);
       return;
     }
-    const place = parseReplicaPlace(value);
+    const place = parseReplicaLocation(value);
     if (place === undefined) return;
     this.zones.add(place.zone);
     this.replicas.set(node, { place, lapsedAt: Number.POSITIVE_INFINITY });
@@ -78,7 +78,7 @@
   }
 
   /** The replicas that are to keep a job of a zone; `undefined` where the zone has too few. */
-  groupFor(job: string, zone: ZoneName): readonly ReplicaPlace[] | undefined {
+  groupFor(job: string, zone: ZoneName): readonly ReplicaLocation[] | undefined {
     const { groupSize } = this.options;
     const usable = this.placesIn(zone, 'write');
     if (usable.length < groupSize) return undefined;
@@ -86,12 +86,12 @@
   }
 
   /** Replicas that may hold something, by zone; none where a zone's journal is only heard of. */
-  byZone(): ReadonlyMap<ZoneName, readonly ReplicaPlace[]> {
+  byZone(): ReadonlyMap<ZoneName, readonly ReplicaLocation[]> {
     return new Map([...this.zones].map((zone) => [zone, this.placesIn(zone, 'read')]));
   }
 
   /** The replica on a machine, if one is known there. */
-  replicaOn(node: NodeId): ReplicaPlace | undefined {
+  replicaOn(node: NodeId): ReplicaLocation | undefined {
     return this.replicas.get(node)?.place;
   }
 
@@ -100,8 +100,8 @@
     this.draining.add(node);
   }
 
-  private placesIn(zone: ZoneName, use: ReplicaUse): ReplicaPlace[] {
-    const now = ageingTime(this.options.clock);
+  private placesIn(zone: ZoneName, use: ReplicaUse): ReplicaLocation[] {
+    const now = suspendAwareTime(this.options.clock);
     const lapse = use === 'write' ? USE_AFTER_LAPSE : MEMORY_AFTER_LAPSE;
     return [...this.replicas.values()]
       .filter(({ place, lapsedAt }) => place.zone === zone && now - lapsedAt < lapse)
--- a/src/journal/replica-location.ts
+++ b/src/journal/replica-location.ts
@@ -15,7 +15,7 @@
 });
 
 /** One replica of a zone's journal. */
-export type ReplicaPlace = z.infer<typeof REPLICA_PLACE> & {
+export type ReplicaLocation = z.infer<typeof REPLICA_PLACE> & {
   readonly node: NodeId;
   readonly zone: ZoneName;
   readonly disk: DiskId;
--- a/src/journal/replica-record.ts
+++ b/src/journal/replica-record.ts
@@ -1,7 +1,7 @@
 /** What a replica of a zone's journal tells of itself in the shared store. */
 import * as z from 'zod';
 import { FORMAT_FIELD, type FormatVersion, OWN_FORMAT } from '../core/format-version.js';
-import { REPLICA_PLACE, type ReplicaPlace } from './replica-location.js';
+import { REPLICA_PLACE, type ReplicaLocation } from './replica-location.js';
 
 /** Key prefix of the replicas' records, under the prefix of the fleet. */
 export const REPLICA_PREFIX = 'fleet/replica/';
@@ -9,12 +9,12 @@
 const REPLICA_RECORD = z.object({ ...REPLICA_PLACE.shape, format: FORMAT_FIELD });
 
 /** The record of a replica that this build runs. */
-export function replicaRecordOf(place: ReplicaPlace): string {
+export function replicaRecordOf(place: ReplicaLocation): string {
   return JSON.stringify({ ...place, format: OWN_FORMAT });
 }
 
 /** Reads where a replica is; a record that is none is one of a replica that nobody uses. */
-export function parseReplicaPlace(text: string): ReplicaPlace | undefined {
+export function parseReplicaLocation(text: string): ReplicaLocation | undefined {
   const record = parse(text);
   if (record === undefined) return undefined;
   const { node, zone, address, disk } = record;
@@ -26,7 +26,7 @@
   return parse(text)?.format;
 }
 
-function parse(text: string): (ReplicaPlace & { readonly format: FormatVersion }) | undefined {
+function parse(text: string): (ReplicaLocation & { readonly format: FormatVersion }) | undefined {
   try {
     return REPLICA_RECORD.safeParse(JSON.parse(text)).data;
   } catch {
--- a/src/journal/replica-registration.ts
+++ b/src/journal/replica-registration.ts
@@ -8,7 +8,7 @@
 import { type LeaseId, NO_LEASE, type SharedStore } from '../shared-store/shared-store.js';
 import type { DecisionLog } from '../telemetry/decision-log.js';
 import { JOURNAL_ZONE_PREFIX } from './replica-directory.js';
-import type { ReplicaPlace } from './replica-location.js';
+import type { ReplicaLocation } from './replica-location.js';
 import { REPLICA_PREFIX, replicaRecordOf } from './replica-record.js';
 
 /** Life of the record without renewal: three renewals may fail. */
@@ -23,7 +23,7 @@
 /** Options of {@link ReplicaRegistration}. */
 export interface ReplicaRegistrationOptions {
   readonly store: SharedStore;
-  readonly place: ReplicaPlace;
+  readonly place: ReplicaLocation;
   readonly clock: Pick<Clock, 'sleep'>;
   readonly log: DecisionLog;
 }
--- a/src/journal/zone-journals.ts
+++ b/src/journal/zone-journals.ts
@@ -13,7 +13,7 @@
 import { JobJournal } from './job-journal.js';
 import type { JournalHolder } from './journal-entries.js';
 import type { ReplicaDirectory } from './replica-directory.js';
-import type { ReplicaPlace } from './replica-location.js';
+import type { ReplicaLocation } from './replica-location.js';
 
 /** Time for a replica of any zone to answer what it holds. */
 const LOOK_LIMIT: Milliseconds = 300;
@@ -38,7 +38,7 @@
 }
 
 /** What replicas told of a job: `held` by one at least, `not-held` surely, or nothing sure. */
-export type JournalSight = 'held' | 'not-held' | 'unsure';
+export type EntryStatus = 'held' | 'not-held' | 'unsure';
 
 /** Opens journals of jobs, and looks into those of others. */
 export class ZoneJournals {
@@ -62,13 +62,13 @@
   }
 
   /** The journal of a job that has one, under a term. */
-  open(job: string, replicas: readonly ReplicaPlace[], term: number): JobJournal {
+  open(job: string, replicas: readonly ReplicaLocation[], term: number): JobJournal {
     const { port, metrics, writer } = this.options;
     return new JobJournal({ port, metrics, replicas, holder: { job, term, writer } });
   }
 
   /** Whether the replicas of a job hold entries of it that the store may lack. */
-  async sightOf(job: string, replicas: readonly ReplicaPlace[]): Promise<JournalSight> {
+  async sightOf(job: string, replicas: readonly ReplicaLocation[]): Promise<EntryStatus> {
     const answers = await Promise.all(replicas.map((replica) => this.look(job, replica)));
     if (answers.includes('held')) return 'held';
     return answers.includes('not-held') ? 'not-held' : 'unsure';
@@ -78,21 +78,21 @@
    * Whether the journal of any zone holds entries of a job that the store does not know. Surely not
    * only where replicas of each zone that has any say so.
    */
-  sightAnywhere(job: string): Promise<JournalSight> {
+  sightAnywhere(job: string): Promise<EntryStatus> {
     return this.sightIn([...this.options.directory.byZone().values()], job);
   }
 
   /** The same without this zone, whose journal this node has claimed. */
-  sightInOtherZones(job: string): Promise<JournalSight> {
+  sightInOtherZones(job: string): Promise<EntryStatus> {
     const zones = new Map(this.options.directory.byZone());
     zones.delete(this.options.zone);
     return this.sightIn([...zones.values()], job);
   }
 
   private async sightIn(
-    zones: readonly (readonly ReplicaPlace[])[],
+    zones: readonly (readonly ReplicaLocation[])[],
     job: string,
-  ): Promise<JournalSight> {
+  ): Promise<EntryStatus> {
     if (!this.options.directory.isListed) return 'unsure';
     const sights = await Promise.all(
       zones.map((replicas) => Promise.all(replicas.map((replica) => this.look(job, replica)))),
@@ -138,11 +138,11 @@
   }
 
   /** The replicas of this zone, for jobs whose own are not known. */
-  ownReplicas(): readonly ReplicaPlace[] {
+  ownReplicas(): readonly ReplicaLocation[] {
     return this.options.directory.byZone().get(this.options.zone) ?? [];
   }
 
-  private async look(job: string, { address, disk }: ReplicaPlace): Promise<JournalSight> {
+  private async look(job: string, { address, disk }: ReplicaLocation): Promise<EntryStatus> {
     const request = { kind: 'journal-look', job } as const;
     const outcome = await this.options.port.ask<'journal-look'>(address, request, LOOK_LIMIT);
     if (outcome.kind !== 'answered') return 'unsure';
--- a/src/peers/peer-messages.ts
+++ b/src/peers/peer-messages.ts
@@ -9,7 +9,7 @@
 import type { ResultSlice } from '../jobs/job-results.js';
 import type { JournalAnswers, JournalRequest } from '../journal/journal-entries.js';
 import type { AllowedRegions } from '../placement/allowed-regions.js';
-import type { PermitAnswer, PermitWish } from '../placement/cold-permits.js';
+import type { PermitAnswer, PermitRequest } from '../placement/cold-permits.js';
 import type { CrashReport } from '../serving/request-quarantine.js';
 import type { StoreChange, StoreItem } from '../shared-store/shared-store.js';
 import type { UsageSource, WindowCounts } from '../singleton-tasks/usage-counts.js';
@@ -95,7 +95,7 @@
   /** A worker changes weights; told to the nodes that run jobs. */
   | { readonly kind: 'weights-change'; readonly change: WeightChange }
   /** How warm are these workers, and may I send them requests? Asked of the coordinator. */
-  | { readonly kind: 'cold-permits'; readonly wishes: readonly PermitWish[] }
+  | { readonly kind: 'cold-permits'; readonly wishes: readonly PermitRequest[] }
   /** What a job needs; told to the coordinator. */
   | { readonly kind: 'need-weights'; readonly need: WeightNeed };
 
--- a/src/placement/cold-permits.ts
+++ b/src/placement/cold-permits.ts
@@ -1,6 +1,6 @@
 /** What gateways ask about cold workers, and what the one that grants permits answers. */
 import type { Milliseconds, Revision } from '../core/units.js';
-import type { WorkerLife } from '../serving/worker-incarnation.js';
+import type { WorkerIncarnation } from '../serving/worker-incarnation.js';
 import type { Warmth } from './worker-warmth.js';
 
 /**
@@ -10,10 +10,10 @@
 export const PERMIT_VALIDITY: Milliseconds = 250;
 
 /** What a gateway wants to know of one worker, and how many requests it would send there. */
-export interface PermitWish {
+export interface PermitRequest {
   /** Id of the worker. */
   readonly worker: string;
-  readonly life: WorkerLife;
+  readonly life: WorkerIncarnation;
   readonly permits: number;
   /** Age of what made the asker doubt that the worker is warm; `undefined` where it only knows nothing. */
   readonly doubtAge: Milliseconds | undefined;
@@ -22,7 +22,7 @@
 /** What is known of one worker, and how many requests may go there. */
 export interface PermitGrant {
   readonly worker: string;
-  readonly life: WorkerLife;
+  readonly life: WorkerIncarnation;
   readonly warmth: Warmth;
   readonly permits: number;
 }
--- a/src/placement/cold-worker-rule.ts
+++ b/src/placement/cold-worker-rule.ts
@@ -3,17 +3,17 @@
  * choices that find a cold worker without one, and used up right before a request goes.
  */
 import type { Milliseconds, Revision } from '../core/units.js';
-import { ageingTime, type Clock } from '../serving/clock.js';
+import { type Clock, suspendAwareTime } from '../serving/clock.js';
 import type { ColdStart, ServiceName, WorkerRecord } from '../serving/traffic-configuration.js';
-import { lifeOf, type WorkerLife } from '../serving/worker-incarnation.js';
+import { type WorkerIncarnation, workerIncarnationOf } from '../serving/worker-incarnation.js';
 import type { FleetMetrics } from '../telemetry/fleet-metrics.js';
 import {
   PERMIT_VALIDITY,
   type PermitAnswer,
   type PermitGrant,
-  type PermitWish,
+  type PermitRequest,
 } from './cold-permits.js';
-import type { SendObstacle, SendRule } from './send-rules.js';
+import type { SendRejection, SendRule } from './send-rules.js';
 import type { WorkerWarmth } from './worker-warmth.js';
 
 /** Permits asked for at once for one worker: one to use, one ahead. */
@@ -39,30 +39,30 @@
 /** Permits in hand for one life of a worker. */
 interface HeldPermits {
   left: number;
-  /** By {@link ageingTime}, as others use permits while this machine is suspended. */
+  /** By {@link suspendAwareTime}, as others use permits while this machine is suspended. */
   readonly expiresAt: Milliseconds;
 }
 
 /** Keeps cold workers from more than this node has permits for. */
 export class ColdWorkerRule implements SendRule {
-  private readonly held = new Map<WorkerLife, HeldPermits>();
-  private readonly wishedFor = new Map<WorkerLife, WorkerRecord>();
+  private readonly held = new Map<WorkerIncarnation, HeldPermits>();
+  private readonly wishedFor = new Map<WorkerIncarnation, WorkerRecord>();
   /** Until when a life is not wished for. */
-  private readonly pausedUntil = new Map<WorkerLife, Milliseconds>();
+  private readonly pausedUntil = new Map<WorkerIncarnation, Milliseconds>();
   private highestTerm: Revision = 0;
 
   constructor(private readonly options: ColdWorkerRuleOptions) {}
 
-  obstacleTo(worker: WorkerRecord): SendObstacle | undefined {
+  obstacleTo(worker: WorkerRecord): SendRejection | undefined {
     if (!this.needsPermit(worker)) return undefined;
-    if (this.inHand(lifeOf(worker)) !== undefined) return undefined;
+    if (this.inHand(workerIncarnationOf(worker)) !== undefined) return undefined;
     this.wish(worker);
     return 'worker-cold';
   }
 
   noteSent(worker: WorkerRecord): void {
     if (!this.needsPermit(worker)) return;
-    const permits = this.inHand(lifeOf(worker));
+    const permits = this.inHand(workerIncarnationOf(worker));
     if (permits === undefined) return;
     permits.left -= 1;
     this.options.metrics.count('cold_permits', { state: 'used' });
@@ -74,11 +74,11 @@
   }
 
   /** What to ask the granter now; a wish is told once. */
-  takeWishes(): PermitWish[] {
+  takeWishes(): PermitRequest[] {
     const { warmth, metrics } = this.options;
     const wishes = [...this.wishedFor.values()].slice(0, MOST_WISHES).map((worker) => ({
       worker: worker.id,
-      life: lifeOf(worker),
+      life: workerIncarnationOf(worker),
       permits: WANTED_PERMITS,
       doubtAge: warmth.doubtAge(worker),
     }));
@@ -88,7 +88,7 @@
   }
 
   /**
-   * Takes in the answer to a question that was sent at `sentAt` by {@link ageingTime}; tells whether any
+   * Takes in the answer to a question that was sent at `sentAt` by {@link suspendAwareTime}; tells whether any
    * worker may be sent something that it might not before. A granter that another has followed may not know it.
    */
   takeAnswer(
@@ -101,7 +101,7 @@
     let isAnyFree = false;
     for (const grant of grants) {
       const worker = workerOf(grant.worker);
-      if (worker === undefined || lifeOf(worker) !== grant.life) continue;
+      if (worker === undefined || workerIncarnationOf(worker) !== grant.life) continue;
       if (this.takeGrant(grant, worker, sentAt)) isAnyFree = true;
     }
     return isAnyFree;
@@ -125,7 +125,7 @@
     return told.kind === 'warm' || this.inHand(life) !== undefined;
   }
 
-  private keep(life: WorkerLife, permits: number, expiresAt: Milliseconds): void {
+  private keep(life: WorkerIncarnation, permits: number, expiresAt: Milliseconds): void {
     this.options.metrics.count('cold_permits', { state: 'received' }, permits);
     this.dropExpired(life);
     const before = this.held.get(life)?.left ?? 0;
@@ -141,15 +141,15 @@
     return warmth.of(worker, coldStart).kind !== 'warm';
   }
 
-  private inHand(life: WorkerLife): HeldPermits | undefined {
+  private inHand(life: WorkerIncarnation): HeldPermits | undefined {
     this.dropExpired(life);
     const permits = this.held.get(life);
     return permits === undefined || permits.left < 1 ? undefined : permits;
   }
 
-  private dropExpired(life: WorkerLife): void {
+  private dropExpired(life: WorkerIncarnation): void {
     const permits = this.held.get(life);
-    if (permits === undefined || ageingTime(this.options.clock) < permits.expiresAt) return;
+    if (permits === undefined || suspendAwareTime(this.options.clock) < permits.expiresAt) return;
     this.held.delete(life);
     if (permits.left === 0) return;
     this.noteVoid(permits.left);
@@ -161,7 +161,7 @@
   }
 
   private wish(worker: WorkerRecord): void {
-    const life = lifeOf(worker);
+    const life = workerIncarnationOf(worker);
     if (this.options.clock.now() < (this.pausedUntil.get(life) ?? 0)) return;
     this.pausedUntil.delete(life);
     this.wishedFor.set(life, worker);
--- a/src/placement/distance-costs.ts
+++ b/src/placement/distance-costs.ts
@@ -7,7 +7,7 @@
 import type { ZoneDistance, ZoneTopology } from './zone-topology.js';
 
 /** Cost of a worker of a zone, beside what speaks against the worker itself. */
-export type WayCost = (zone: ZoneName) => number;
+export type DistanceCost = (zone: ZoneName) => number;
 
 type CostByDistance = Readonly<Record<ZoneDistance, number>>;
 
@@ -38,12 +38,15 @@
 const REGION_ITEM_COST = 0.55;
 
 /** Cost of the way of a direct request. */
-export function requestWayCost(distance: ZoneDistance): number {
+export function requestDistanceCost(distance: ZoneDistance): number {
   return REQUEST_COSTS[distance];
 }
 
 /** Cost of the way of an item; `undefined` where all workers are as near. */
-export function itemWayCost(topology: ZoneTopology, zonesServeAlone: boolean): WayCost | undefined {
+export function itemDistanceCost(
+  topology: ZoneTopology,
+  zonesServeAlone: boolean,
+): DistanceCost | undefined {
   if (!zonesServeAlone && !topology.spansRegions) return undefined;
   const costs: CostByDistance = {
     'same-zone': 0,
--- a/src/placement/guarded-engine.ts
+++ b/src/placement/guarded-engine.ts
@@ -2,7 +2,7 @@
 import type { EngineOutcome, EnginePort, EngineRequest } from '../serving/engine-port.js';
 import type { DecisionLog } from '../telemetry/decision-log.js';
 import type { FleetMetrics } from '../telemetry/fleet-metrics.js';
-import type { SendObstacle, SendRules } from './send-rules.js';
+import type { SendRejection, SendRules } from './send-rules.js';
 
 /** Options of {@link GuardedEngine}. */
 export interface GuardedEngineOptions {
@@ -37,7 +37,7 @@
     return { kind: 'not-run', reason: 'withheld', load: undefined };
   }
 
-  private noteWithheld({ requestId, worker }: EngineRequest, obstacle: SendObstacle): void {
+  private noteWithheld({ requestId, worker }: EngineRequest, obstacle: SendRejection): void {
     this.options.metrics.count('sends_withheld', { obstacle });
     this.options.log.decision('send-withheld', {
       request: requestId,
--- a/src/placement/job-residency.ts
+++ b/src/placement/job-residency.ts
@@ -9,7 +9,7 @@
 import type { Route } from '../serving/traffic-configuration.js';
 import type { TenantName } from '../tenants/tenant.js';
 import { type AllowedRegions, allowedByBoth, allowsRegion } from './allowed-regions.js';
-import { withoutRegions, type ZoneTopology } from './zone-topology.js';
+import { topologyWithoutRegions, type ZoneTopology } from './zone-topology.js';
 
 /** What the route of a request is found by. */
 export interface RoutedRequest {
@@ -145,7 +145,7 @@
 
 /** Jobs may lie anywhere. */
 export const JOBS_ANYWHERE = new JobResidency({
-  topology: withoutRegions(''),
+  topology: topologyWithoutRegions(''),
   self: '',
   zoneOf: () => undefined,
   routes: () => undefined,
--- a/src/placement/permit-granter.ts
+++ b/src/placement/permit-granter.ts
@@ -5,12 +5,12 @@
 import { MINUTE, type Milliseconds, type Revision, SECOND } from '../core/units.js';
 import type { Clock } from '../serving/clock.js';
 import type { ColdStart, ServiceName, WorkerRecord } from '../serving/traffic-configuration.js';
-import { lifeOf, type WorkerLife } from '../serving/worker-incarnation.js';
+import { type WorkerIncarnation, workerIncarnationOf } from '../serving/worker-incarnation.js';
 import {
   NOT_GRANTER,
   type PermitAnswer,
   type PermitGrant,
-  type PermitWish,
+  type PermitRequest,
 } from './cold-permits.js';
 import type { ColdTolerance } from './cold-tolerance.js';
 import { GRANT_SPREAD, PermitBucket, permitPace } from './permit-bucket.js';
@@ -42,7 +42,7 @@
 export class PermitGranter {
   private token: Revision | undefined;
   private opensAt: Milliseconds = Number.POSITIVE_INFINITY;
-  private readonly buckets = new Map<WorkerLife, PermitBucket>();
+  private readonly buckets = new Map<WorkerIncarnation, PermitBucket>();
 
   constructor(private readonly options: PermitGranterOptions) {}
 
@@ -61,7 +61,7 @@
   }
 
   /** Answers a gateway's wishes; while it waits, it tells how warm workers are and grants nothing. */
-  answer(wishes: readonly PermitWish[]): PermitAnswer {
+  answer(wishes: readonly PermitRequest[]): PermitAnswer {
     const state = this.observe();
     if (state === 'none') return NOT_GRANTER;
     const grants = wishes.map((wish) => this.grant(wish, state === 'open'));
@@ -76,10 +76,10 @@
     }
   }
 
-  private grant(wish: PermitWish, mayGrant: boolean): PermitGrant | undefined {
+  private grant(wish: PermitRequest, mayGrant: boolean): PermitGrant | undefined {
     const { clock, warmth, tolerance, workerOf, coldStartOf, look } = this.options;
     const record = workerOf(wish.worker);
-    if (record === undefined || lifeOf(record) !== wish.life) return undefined;
+    if (record === undefined || workerIncarnationOf(record) !== wish.life) return undefined;
     const coldStart = coldStartOf(record.service);
     if (coldStart === undefined) return undefined;
     if (wish.doubtAge !== undefined) warmth.doubt(record, wish.doubtAge);
@@ -92,7 +92,7 @@
     return { worker, life, warmth: state, permits };
   }
 
-  private bucketOf(life: WorkerLife): PermitBucket {
+  private bucketOf(life: WorkerIncarnation): PermitBucket {
     const known = this.buckets.get(life);
     if (known !== undefined) return known;
     const bucket = new PermitBucket();
--- a/src/placement/send-rules.ts
+++ b/src/placement/send-rules.ts
@@ -7,7 +7,7 @@
 import type { AllowedRegions } from './allowed-regions.js';
 
 /** What keeps a worker from being sent work. */
-export type SendObstacle =
+export type SendRejection =
   | 'region-not-allowed'
   | 'zone-evacuated'
   /** This node may have missed an evacuation. */
@@ -17,7 +17,7 @@
 /** One reason for which workers are sent nothing. */
 export interface SendRule {
   /** What keeps a worker from being sent work of these regions now; `undefined` where nothing does. */
-  obstacleTo(worker: WorkerRecord, allowed: AllowedRegions): SendObstacle | undefined;
+  obstacleTo(worker: WorkerRecord, allowed: AllowedRegions): SendRejection | undefined;
   /**
    * A request is about to go to the worker: uses up what the rule grants. Called in the same turn in
    * which {@link obstacleTo} found nothing.
@@ -30,7 +30,7 @@
   constructor(private readonly rules: readonly SendRule[] = []) {}
 
   /** The first obstacle to sending work to a worker; `undefined` where there is none. */
-  obstacleTo(worker: WorkerRecord, allowed: AllowedRegions): SendObstacle | undefined {
+  obstacleTo(worker: WorkerRecord, allowed: AllowedRegions): SendRejection | undefined {
     for (const rule of this.rules) {
       const obstacle = rule.obstacleTo(worker, allowed);
       if (obstacle !== undefined) return obstacle;
@@ -44,7 +44,7 @@
   }
 
   /** Lets one request go to a worker, or tells what keeps it from going. */
-  admit(worker: WorkerRecord, allowed: AllowedRegions): SendObstacle | undefined {
+  admit(worker: WorkerRecord, allowed: AllowedRegions): SendRejection | undefined {
     const obstacle = this.obstacleTo(worker, allowed);
     if (obstacle !== undefined) return obstacle;
     for (const rule of this.rules) rule.noteSent?.(worker);
--- a/src/placement/stale-evacuation-rule.ts
+++ b/src/placement/stale-evacuation-rule.ts
@@ -7,10 +7,10 @@
  */
 import type { Milliseconds } from '../core/units.js';
 import type { DecisionLog } from '../telemetry/decision-log.js';
-import type { SendObstacle, SendRule } from './send-rules.js';
+import type { SendRejection, SendRule } from './send-rules.js';
 
-/** Options of {@link EvacuationBelief}. */
-export interface EvacuationBeliefOptions {
+/** Options of {@link StaleEvacuationRule}. */
+export interface StaleEvacuationRuleOptions {
   /** Time without any contact after which nothing is sent; `undefined` where nobody asks for a bound. */
   readonly limit: () => Milliseconds | undefined;
   /** Time since the store told of evacuations, or another node that was asked answered. */
@@ -21,10 +21,10 @@
 }
 
 /** Keeps a node that is cut off by itself from sending work on old knowledge. */
-export class EvacuationBelief implements SendRule {
+export class StaleEvacuationRule implements SendRule {
   private isPastAge = false;
 
-  constructor(private readonly options: EvacuationBeliefOptions) {}
+  constructor(private readonly options: StaleEvacuationRuleOptions) {}
 
   /** Whether what is known is too old to send work on. */
   get isOutdated(): boolean {
@@ -46,7 +46,7 @@
     log.state(isPastAge ? 'evacuations-unknown' : 'evacuations-known', { contactAgeMs });
   }
 
-  obstacleTo(): SendObstacle | undefined {
+  obstacleTo(): SendRejection | undefined {
     return this.isOutdated ? 'evacuations-unknown' : undefined;
   }
 }
--- a/src/placement/worker-warmth.ts
+++ b/src/placement/worker-warmth.ts
@@ -7,7 +7,11 @@
 import type { Milliseconds } from '../core/units.js';
 import type { Clock } from '../serving/clock.js';
 import type { ColdStart, WorkerRecord } from '../serving/traffic-configuration.js';
-import { isLaterLife, lifeOf, type WorkerLife } from '../serving/worker-incarnation.js';
+import {
+  isLaterIncarnation,
+  type WorkerIncarnation,
+  workerIncarnationOf,
+} from '../serving/worker-incarnation.js';
 
 /** How warm a worker is, and how much longer at most if it is not. */
 export type Warmth =
@@ -22,7 +26,7 @@
 /** What is known of one life of a worker; times are of the node's steady clock. */
 interface KnownLife {
   readonly fields: Pick<WorkerRecord, 'id' | 'startedAt'>;
-  readonly life: WorkerLife;
+  readonly life: WorkerIncarnation;
   /** The cold time that the last record told. */
   recordedColdFor: Milliseconds | undefined;
   coldUntil: Milliseconds;
@@ -51,11 +55,12 @@
   /** Takes in a worker's record, new or changed. */
   noteRecord(record: WorkerRecord): void {
     const known = this.lives.get(record.id);
-    if (known === undefined || isLaterLife(record, known.fields)) {
+    if (known === undefined || isLaterIncarnation(record, known.fields)) {
       this.lives.set(record.id, this.firstSeen(record));
       return;
     }
-    if (known.life !== lifeOf(record) || known.recordedColdFor === record.coldFor) return;
+    if (known.life !== workerIncarnationOf(record) || known.recordedColdFor === record.coldFor)
+      return;
     known.recordedColdFor = record.coldFor;
     const remaining = record.coldFor ?? 0;
     if (remaining > 0) this.lengthen(known, remaining + COLD_MARGIN);
@@ -112,7 +117,7 @@
 
   private known(record: WorkerRecord): KnownLife {
     const known = this.lives.get(record.id);
-    if (known !== undefined && !isLaterLife(record, known.fields)) return known;
+    if (known !== undefined && !isLaterIncarnation(record, known.fields)) return known;
     const first = this.firstSeen(record);
     this.lives.set(record.id, first);
     return first;
@@ -129,7 +134,7 @@
     const isColdNow = this.isListed && coldFor > 0;
     return {
       fields: { id, startedAt },
-      life: lifeOf(record),
+      life: workerIncarnationOf(record),
       recordedColdFor,
       coldUntil: isColdNow ? now + coldFor + COLD_MARGIN : Number.NEGATIVE_INFINITY,
       doubtedAt: isColdNow ? Number.NEGATIVE_INFINITY : now,
--- a/src/placement/zone-evacuations.ts
+++ b/src/placement/zone-evacuations.ts
@@ -1,7 +1,7 @@
 /** Zones whose workers the operator wants to be sent nothing for the time being. */
 import type { ZoneName } from '../core/identity.js';
 import type { WorkerRecord } from '../serving/traffic-configuration.js';
-import type { SendObstacle, SendRule } from './send-rules.js';
+import type { SendRejection, SendRule } from './send-rules.js';
 
 /** Knows which zones are evacuated. */
 export class ZoneEvacuations implements SendRule {
@@ -29,7 +29,7 @@
     return [...this.zones].sort();
   }
 
-  obstacleTo({ zone }: WorkerRecord): SendObstacle | undefined {
+  obstacleTo({ zone }: WorkerRecord): SendRejection | undefined {
     return this.zones.has(zone) ? 'zone-evacuated' : undefined;
   }
 }
--- a/src/placement/zone-topology.ts
+++ b/src/placement/zone-topology.ts
@@ -57,7 +57,7 @@
 }
 
 /** The topology of a node whose settings name no regions. */
-export function withoutRegions(zone: ZoneName): ZoneTopology {
+export function topologyWithoutRegions(zone: ZoneName): ZoneTopology {
   return new ZoneTopology(zone, new Map());
 }
 
--- a/src/serving/active-configuration.ts
+++ b/src/serving/active-configuration.ts
@@ -24,8 +24,8 @@
   retryAfter: CONFIGURATION_RETRY_AFTER,
 });
 
-/** Options of {@link ConfigurationInForce}. */
-export interface ConfigurationInForceOptions {
+/** Options of {@link ActiveConfiguration}. */
+export interface ActiveConfigurationOptions {
   readonly log: DecisionLog;
   readonly metrics: FleetMetrics;
   /** Whether the settings know a region. @default they know any */
@@ -33,10 +33,10 @@
 }
 
 /** Holds the newest configuration. */
-export class ConfigurationInForce {
+export class ActiveConfiguration {
   private matcher: RouteMatcher | undefined;
 
-  constructor(private readonly options: ConfigurationInForceOptions) {}
+  constructor(private readonly options: ActiveConfigurationOptions) {}
 
   /** Takes a configuration into force, unless a newer one is; tells whether it did. */
   apply(configuration: TrafficConfiguration): boolean {
--- a/src/serving/clock.ts
+++ b/src/serving/clock.ts
@@ -34,6 +34,6 @@
 };
 
 /** Time by which beliefs age: steady time, and time for which the machine may have been suspended. */
-export function ageingTime(clock: Pick<Clock, 'now' | 'suspendedTime'>): Milliseconds {
+export function suspendAwareTime(clock: Pick<Clock, 'now' | 'suspendedTime'>): Milliseconds {
   return clock.now() + clock.suspendedTime();
 }
--- a/src/serving/crash-evidence.ts
+++ b/src/serving/crash-evidence.ts
@@ -7,7 +7,7 @@
 import type { Milliseconds } from '../core/units.js';
 import type { Clock } from './clock.js';
 import type { RequestFingerprint } from './request-fingerprint.js';
-import type { WorkerLife } from './worker-incarnation.js';
+import type { WorkerIncarnation } from './worker-incarnation.js';
 
 /**
  * Workers that may end under one request. One or two may be chance: a sixth of a service's workers
@@ -29,7 +29,7 @@
 
 /** The end of one life of a worker under one request. */
 export interface WorkerEnd {
-  readonly worker: WorkerLife;
+  readonly worker: WorkerIncarnation;
   /** Steady time. */
   readonly at: Milliseconds;
 }
--- a/src/serving/engine-port.ts
+++ b/src/serving/engine-port.ts
@@ -123,7 +123,7 @@
  * Whether a life of a worker goes on. `ended`: nobody listens at its address, or another life does;
  * `unknown`: it does not answer in time.
  */
-export type WorkerStanding = 'lives' | 'ended' | 'unknown';
+export type WorkerLiveness = 'lives' | 'ended' | 'unknown';
 
 /** Workers as the product sees them. No method rejects. */
 export interface EnginePort {
@@ -132,7 +132,7 @@
   order(order: WeightOrder): Promise<OrderOutcome>;
   report(worker: WorkerRecord): Promise<EngineReport | undefined>;
   /** Asks over a new connection, by the path at which its service tells its health. */
-  standingOf(worker: WorkerRecord, healthPath: string): Promise<WorkerStanding>;
+  standingOf(worker: WorkerRecord, healthPath: string): Promise<WorkerLiveness>;
   /**
    * Has a worker tell how much longer it stays cold, 0 where it is warm; `undefined` where it does not
    * tell, or another life answers.
--- a/src/serving/request-fingerprint.ts
+++ b/src/serving/request-fingerprint.ts
@@ -34,7 +34,7 @@
 }
 
 /** A request whose fingerprint is worked out when it is first needed, and once. */
-export class AskedRequest {
+export class FingerprintedRequest {
   private known: RequestFingerprint | undefined;
 
   /** `work` is called at most once. */
--- a/src/serving/request-quarantine.ts
+++ b/src/serving/request-quarantine.ts
@@ -18,10 +18,10 @@
   MOST_ENDED_WORKERS,
   type WorkerEnd,
 } from './crash-evidence.js';
-import type { WorkerStanding } from './engine-port.js';
-import type { AskedRequest, RequestFingerprint } from './request-fingerprint.js';
+import type { WorkerLiveness } from './engine-port.js';
+import type { FingerprintedRequest, RequestFingerprint } from './request-fingerprint.js';
 import type { WorkerRecord } from './traffic-configuration.js';
-import { lifeOf, type WorkerLife } from './worker-incarnation.js';
+import { type WorkerIncarnation, workerIncarnationOf } from './worker-incarnation.js';
 
 /**
  * Time from the end of a worker until others are told what was there. Most of it is answered by
@@ -43,7 +43,7 @@
 
 /** What was at a worker when a life of it ended. */
 export interface CrashReport {
-  readonly worker: WorkerLife;
+  readonly worker: WorkerIncarnation;
   readonly requests: readonly RequestFingerprint[];
 }
 
@@ -53,7 +53,7 @@
 /** Options of {@link RequestQuarantine}. */
 export interface RequestQuarantineOptions {
   /** Asks a worker whose connection broke whether it still lives. */
-  readonly standingOf: (worker: WorkerRecord) => Promise<WorkerStanding>;
+  readonly standingOf: (worker: WorkerRecord) => Promise<WorkerLiveness>;
   /** Tells the other nodes what was at a worker that ended. */
   readonly report: (report: CrashReport) => void;
   /** Tells the other nodes that a worker answered a request that was reported. */
@@ -66,9 +66,9 @@
 /** Decides whether a request may go to a worker. */
 export class RequestQuarantine {
   private readonly evidence: CrashEvidence;
-  private readonly verdicts = new Map<WorkerLife, Promise<WorkerStanding>>();
+  private readonly verdicts = new Map<WorkerIncarnation, Promise<WorkerLiveness>>();
   /** Lives whose end under a request the other nodes have not been told. */
-  private readonly unreported = new Map<RequestFingerprint, Set<WorkerLife>>();
+  private readonly unreported = new Map<RequestFingerprint, Set<WorkerIncarnation>>();
   /** Requests whose quarantine stands in the log. */
   private readonly announced = new Set<RequestFingerprint>();
   /** Requests that are looked at when the settling time is over. */
@@ -83,13 +83,13 @@
    * Whether a request may go to one more worker while it is at some others. With evidence against
    * it, those count as if they had ended: copies side by side end several workers at once.
    */
-  admits(asked: AskedRequest, underWay = 0): boolean {
+  admits(asked: FingerprintedRequest, underWay = 0): boolean {
     const ended = this.endedUnder(asked).length;
     return ended === 0 || ended + underWay < MOST_ENDED_WORKERS;
   }
 
   /** Why a request is sent to no worker; `undefined` where it may be sent. */
-  refusalOf(asked: AskedRequest): Failure | undefined {
+  refusalOf(asked: FingerprintedRequest): Failure | undefined {
     const ends = this.endedUnder(asked);
     if (ends.length < MOST_ENDED_WORKERS) return undefined;
     const firstToLapse = ends[ends.length - MOST_ENDED_WORKERS]?.at ?? 0;
@@ -98,7 +98,7 @@
   }
 
   /** The workers that ended under a request. */
-  endedUnder(asked: AskedRequest): readonly WorkerEnd[] {
+  endedUnder(asked: FingerprintedRequest): readonly WorkerEnd[] {
     return this.evidence.isEmpty ? [] : this.evidence.endedUnder(asked.fingerprint);
   }
 
@@ -106,9 +106,13 @@
    * The connection to a worker broke while a request was there. That counts at once, as the request
    * may come again before the worker was asked, and is taken back where the worker lives.
    */
-  async noteBroken(worker: WorkerRecord, asked: AskedRequest, next: NextSender): Promise<void> {
+  async noteBroken(
+    worker: WorkerRecord,
+    asked: FingerprintedRequest,
+    next: NextSender,
+  ): Promise<void> {
     const request = asked.fingerprint;
-    const life = lifeOf(worker);
+    const life = workerIncarnationOf(worker);
     this.evidence.note(request, { worker: life, at: this.options.clock.now() });
     const standing = await this.verdictOn(worker);
     if (standing === 'lives') {
@@ -129,19 +133,19 @@
    * its caller left. Its connection is closed from here, so that nothing tells of that worker's end;
    * it is asked. Where nothing speaks against the request, nobody is asked.
    */
-  noteGivenUp(worker: WorkerRecord, asked: AskedRequest): void {
+  noteGivenUp(worker: WorkerRecord, asked: FingerprintedRequest): void {
     if (this.endedUnder(asked).length === 0) return;
     setTimeout(() => void this.lookIntoGivenUp(worker, asked), GIVEN_UP_DELAY);
   }
 
-  private async lookIntoGivenUp(worker: WorkerRecord, asked: AskedRequest): Promise<void> {
+  private async lookIntoGivenUp(worker: WorkerRecord, asked: FingerprintedRequest): Promise<void> {
     const standing = await this.verdictOn(worker);
     const isSuspect = this.endedUnder(asked).length > 0;
     if (standing === 'ended' && isSuspect) await this.noteBroken(worker, asked, 'any-node');
   }
 
   /** A worker gave a whole answer: the request does not end workers. */
-  noteAnswered(asked: AskedRequest): void {
+  noteAnswered(asked: FingerprintedRequest): void {
     const ends = this.endedUnder(asked);
     if (ends.length === 0) return;
     const request = asked.fingerprint;
@@ -178,8 +182,8 @@
   }
 
   /** One question for all requests that were at a worker. */
-  private verdictOn(worker: WorkerRecord): Promise<WorkerStanding> {
-    const life = lifeOf(worker);
+  private verdictOn(worker: WorkerRecord): Promise<WorkerLiveness> {
+    const life = workerIncarnationOf(worker);
     const known = this.verdicts.get(life);
     if (known !== undefined) return known;
     const verdict = this.askWorker(worker);
@@ -191,7 +195,7 @@
     return verdict;
   }
 
-  private async askWorker(worker: WorkerRecord): Promise<WorkerStanding> {
+  private async askWorker(worker: WorkerRecord): Promise<WorkerLiveness> {
     const { standingOf, log, metrics, clock } = this.options;
     const askedAt = clock.now();
     const standing = await standingOf(worker);
@@ -208,7 +212,7 @@
   settle(): void {
     clearTimeout(this.settleTimer);
     this.settleTimer = undefined;
-    const requestsByWorker = new Map<WorkerLife, RequestFingerprint[]>();
+    const requestsByWorker = new Map<WorkerIncarnation, RequestFingerprint[]>();
     for (const [request, next] of this.settling) {
       const workers = this.unreported.get(request);
       if (workers === undefined || !this.isWorthTelling(request, next)) continue;
--- a/src/serving/worker-incarnation.ts
+++ b/src/serving/worker-incarnation.ts
@@ -5,18 +5,18 @@
 import type { WorkerRecord } from './traffic-configuration.js';
 
 /** Names one life of a worker; differs from every other life, also under the same id. */
-export type WorkerLife = string;
+export type WorkerIncarnation = string;
 
 /** What tells lives apart. */
 type LifeFields = Pick<WorkerRecord, 'id' | 'startedAt'>;
 
 /** The life that a record tells of; just the id where the worker does not tell its start. */
-export function lifeOf({ id, startedAt }: LifeFields): WorkerLife {
+export function workerIncarnationOf({ id, startedAt }: LifeFields): WorkerIncarnation {
   return startedAt === undefined ? id : `${id}@${startedAt}`;
 }
 
 /** Whether a record tells of a later life than another record under the same id. */
-export function isLaterLife(record: LifeFields, than: LifeFields): boolean {
+export function isLaterIncarnation(record: LifeFields, than: LifeFields): boolean {
   if (record.startedAt === undefined || than.startedAt === undefined) return false;
   return record.startedAt > than.startedAt;
 }
--- a/src/serving/worker-registry.ts
+++ b/src/serving/worker-registry.ts
@@ -5,12 +5,12 @@
 import type { ModelName, ZoneName } from '../core/identity.js';
 import type { Milliseconds, WeightVersion } from '../core/units.js';
 import type { AllowedRegions } from '../placement/allowed-regions.js';
-import { requestWayCost } from '../placement/distance-costs.js';
+import { requestDistanceCost } from '../placement/distance-costs.js';
 import { SendRules } from '../placement/send-rules.js';
 import { type DistanceBetween, distanceInOneRegion } from '../placement/zone-topology.js';
 import type { ReportedLoad } from './engine-port.js';
 import type { ServiceName, WorkerRecord } from './traffic-configuration.js';
-import { isLaterLife } from './worker-incarnation.js';
+import { isLaterIncarnation } from './worker-incarnation.js';
 
 /** How one request at a worker ended, for the choice of later ones. */
 export type WorkerOutcome = 'success' | 'failure' | 'full' | 'stalled';
@@ -168,8 +168,8 @@
    */
   put(record: WorkerRecord): WorkerChange {
     const known = this.workers.get(record.id);
-    if (known !== undefined && isLaterLife(known.record, record)) return 'outdated';
-    const isSameLife = known !== undefined && !isLaterLife(record, known.record);
+    if (known !== undefined && isLaterIncarnation(known.record, record)) return 'outdated';
+    const isSameLife = known !== undefined && !isLaterIncarnation(record, known.record);
     if (isSameLife && known.record.service === record.service) {
       known.record = record;
       return 'updated';
@@ -268,7 +268,7 @@
     const candidates = sound.length > 0 ? sound : fresh;
     const rank = (worker: KnownWorker): number =>
       worker.occupancy(now) / worker.record.slots +
-      requestWayCost(this.distanceBetween(zone, worker.record.zone));
+      requestDistanceCost(this.distanceBetween(zone, worker.record.zone));
     return candidates.reduce<KnownWorker | undefined>(
       (best, worker) => (best === undefined || rank(worker) < rank(best) ? worker : best),
       undefined,
--- a/src/serving/worker-sender.ts
+++ b/src/serving/worker-sender.ts
@@ -10,7 +10,7 @@
 import { SERVER_ERROR } from './attempt.js';
 import type { EngineOutcome } from './engine-port.js';
 import type { RequestForwarderOptions } from './forwarding-options.js';
-import { AskedRequest } from './request-fingerprint.js';
+import { FingerprintedRequest } from './request-fingerprint.js';
 import type { Route, ServiceName } from './traffic-configuration.js';
 import type { KnownWorker } from './worker-registry.js';
 
@@ -37,7 +37,7 @@
   private readonly aborts = new Set<AbortController>();
   private hasBegun = false;
   private underWay = 0;
-  private readonly asked: AskedRequest;
+  private readonly asked: FingerprintedRequest;
   /** Workers that it was sent to. */
   attempts = 0;
   /** Whether a worker may have run it. */
@@ -46,7 +46,7 @@
   constructor(private readonly options: WorkerSenderOptions) {
     const { request } = options;
     const tenant = tenantNameOf(request.caller);
-    this.asked = new AskedRequest(() => ({ ...request, tenant }));
+    this.asked = new FingerprintedRequest(() => ({ ...request, tenant }));
   }
 
   /** Where it may be served now: a configuration that has come since binds each further attempt. */
--- a/src/shared-store/shared-store.ts
+++ b/src/shared-store/shared-store.ts
@@ -92,7 +92,10 @@
   | StoreFailure;
 
 /** Outcome of renewing a lease. */
-export type StoreKeepOutcome = { readonly kind: 'kept' } | { readonly kind: 'gone' } | StoreFailure;
+export type StoreRenewOutcome =
+  | { readonly kind: 'kept' }
+  | { readonly kind: 'gone' }
+  | StoreFailure;
 
 /** The shared store. No method rejects. */
 export interface SharedStore {
@@ -108,6 +111,6 @@
   ): Promise<StoreWatchOutcome>;
   commit(commit: StoreCommit): Promise<StoreCommitOutcome>;
   grantLease(ttl: Milliseconds): Promise<StoreGrantOutcome>;
-  keepLease(lease: LeaseId): Promise<StoreKeepOutcome>;
+  keepLease(lease: LeaseId): Promise<StoreRenewOutcome>;
   endLease(lease: LeaseId): Promise<void>;
 }
--- a/src/singleton-tasks/cloud-call-backoff.ts
+++ b/src/singleton-tasks/cloud-call-backoff.ts
@@ -9,7 +9,7 @@
 const JITTER_SHARE = 0.3;
 
 /** The pauses of one matter. */
-export class DutyRetry {
+export class CloudCallBackoff {
   private failures = 0;
   private notBefore: Milliseconds = 0;
 
--- a/src/singleton-tasks/cloud-port.ts
+++ b/src/singleton-tasks/cloud-port.ts
@@ -8,7 +8,7 @@
 import type { TenantName } from '../tenants/tenant.js';
 
 /** Who makes a call: the node that holds the duty, and the token that rises with each holder. */
-export interface DutyStamp {
+export interface FencedHolder {
   readonly holder: NodeId;
   readonly fencingToken: Revision;
 }
@@ -28,7 +28,7 @@
 }
 
 /** What came of a call. */
-export type DutyOutcome =
+export type CloudCallOutcome =
   | 'accepted'
   /** Another holder acted under a higher token. */
   | 'superseded'
@@ -41,9 +41,9 @@
   | 'unknown';
 
 /** The cloud interface. No method rejects. */
-export interface DutyPort {
+export interface CloudPort {
   /** Reports usage; an exact repetition changes nothing. */
-  reportUsage(report: UsageReport, stamp: DutyStamp): Promise<DutyOutcome>;
+  reportUsage(report: UsageReport, stamp: FencedHolder): Promise<CloudCallOutcome>;
   /** Orders a number of workers. */
-  orderWorkers(order: WorkerOrder, stamp: DutyStamp): Promise<DutyOutcome>;
+  orderWorkers(order: WorkerOrder, stamp: FencedHolder): Promise<CloudCallOutcome>;
 }
--- a/src/singleton-tasks/scaling-policy.ts
+++ b/src/singleton-tasks/scaling-policy.ts
@@ -19,7 +19,7 @@
  * As many as the operator allows, so that no item waits for a place, but no more than gateways can follow.
  * Where there are more than that already, none is ordered.
  */
-export class LargestFleetPolicy implements ScalingPolicy {
+export class MaxWorkersPolicy implements ScalingPolicy {
   private readonly startedAt: Milliseconds;
 
   constructor(private readonly clock: Pick<Clock, 'now'>) {
--- a/src/singleton-tasks/singleton-task-lock.ts
+++ b/src/singleton-tasks/singleton-task-lock.ts
@@ -2,7 +2,7 @@
 import type { Revision } from '../core/units.js';
 
 /** Gives tokens for calls and orders; the coordinator's lock implements it. */
-export interface DutyLock {
+export interface SingletonTaskLock {
   /** The fencing token while this node may act; `undefined` otherwise. */
   fencingToken(): Revision | undefined;
   /** The token for one call; {@link endOrder} is called once it is answered or given up. */
--- a/src/singleton-tasks/usage-reporter.ts
+++ b/src/singleton-tasks/usage-reporter.ts
@@ -9,9 +9,9 @@
 import type { Clock } from '../serving/clock.js';
 import type { DecisionLog } from '../telemetry/decision-log.js';
 import type { FleetMetrics } from '../telemetry/fleet-metrics.js';
-import { DutyRetry } from './cloud-call-backoff.js';
-import type { DutyPort, UsageReport } from './cloud-port.js';
-import type { DutyLock } from './singleton-task-lock.js';
+import { CloudCallBackoff } from './cloud-call-backoff.js';
+import type { CloudPort, UsageReport } from './cloud-port.js';
+import type { SingletonTaskLock } from './singleton-task-lock.js';
 import type { UsageCounts, UsageSource } from './usage-counts.js';
 import type { UsageMeter } from './usage-meter.js';
 import type { UsageRecords } from './usage-records.js';
@@ -30,14 +30,14 @@
 const CHECKPOINT_KEEPER = 'holder';
 
 /** Windows whose reports may still be sent, beside the open one. */
-export function windowsToKeep(dueAfter: Milliseconds, length: Milliseconds): number {
+export function retainedWindowCount(dueAfter: Milliseconds, length: Milliseconds): number {
   return Math.ceil((LATENESS_LIMIT * dueAfter) / length);
 }
 
 /** Options of {@link UsageReporter}. */
 export interface UsageReporterOptions {
-  readonly port: DutyPort;
-  readonly lock: DutyLock;
+  readonly port: CloudPort;
+  readonly lock: SingletonTaskLock;
   readonly records: UsageRecords;
   readonly windows: UsageWindows;
   readonly gathered: UsageCounts;
@@ -58,7 +58,7 @@
   /** Reports as they are kept, by window. */
   private readonly kept = new Map<WindowNumber, UsageReport>();
   private readonly done = new Set<WindowNumber>();
-  private readonly retry = new DutyRetry();
+  private readonly retry = new CloudCallBackoff();
   private isBusy = false;
   private nextCheckpointAt: Milliseconds = 0;
   private requestsAtCheckpoint = 0;
@@ -88,7 +88,7 @@
 
   private get oldestWindow(): WindowNumber {
     const { windows, dueAfter, firstWindow } = this.options;
-    return Math.max(firstWindow, windows.current - windowsToKeep(dueAfter, windows.length));
+    return Math.max(firstWindow, windows.current - retainedWindowCount(dueAfter, windows.length));
   }
 
   private dueWindow(): WindowNumber | undefined {
--- a/src/singleton-tasks/usage-sender.ts
+++ b/src/singleton-tasks/usage-sender.ts
@@ -27,7 +27,7 @@
 const LONGEST_PAUSE: Milliseconds = 2_500;
 
 /** Holder of the duties, as this node knows. */
-export interface DutyHolder {
+export interface SingletonTaskHolder {
   readonly holder: NodeId | undefined;
   /** Changes with each holder. */
   readonly term: Revision;
@@ -42,7 +42,7 @@
   /** Name of this life of the node. */
   readonly source: UsageSource;
   readonly node: NodeId;
-  readonly duties: () => DutyHolder;
+  readonly duties: () => SingletonTaskHolder;
   readonly liveNodes: () => number;
   /** Tells another node; whether it took it. */
   readonly tell: (holder: NodeId, source: UsageSource, counts: WindowCounts) => Promise<boolean>;
--- a/src/singleton-tasks/worker-scaler.ts
+++ b/src/singleton-tasks/worker-scaler.ts
@@ -10,9 +10,9 @@
 import type { WorkerRegistry } from '../serving/worker-registry.js';
 import type { DecisionLog } from '../telemetry/decision-log.js';
 import type { FleetMetrics } from '../telemetry/fleet-metrics.js';
-import { DutyRetry } from './cloud-call-backoff.js';
-import type { DutyPort, WorkerOrder } from './cloud-port.js';
-import type { DutyLock } from './singleton-task-lock.js';
+import { CloudCallBackoff } from './cloud-call-backoff.js';
+import type { CloudPort, WorkerOrder } from './cloud-port.js';
+import type { SingletonTaskLock } from './singleton-task-lock.js';
 
 /** Time beyond the start of a worker in which ordered workers have to show. */
 const ARRIVAL_MARGIN: Milliseconds = 6_000;
@@ -25,8 +25,8 @@
 
 /** Options of {@link WorkerScaler}. */
 export interface WorkerScalerOptions {
-  readonly port: DutyPort;
-  readonly lock: DutyLock;
+  readonly port: CloudPort;
+  readonly lock: SingletonTaskLock;
   readonly policy: ScalingPolicy;
   readonly services: () => readonly Service[];
   readonly registry: WorkerRegistry;
@@ -51,7 +51,7 @@
 /** Sends orders while this node holds the duty. */
 export class WorkerScaler {
   private readonly placed = new Map<string, PlacedOrder>();
-  private readonly retry = new DutyRetry();
+  private readonly retry = new CloudCallBackoff();
   private isOrdering = false;
 
   constructor(private readonly options: WorkerScalerOptions) {}
--- a/test/fleet/cold-workers.test.ts
+++ b/test/fleet/cold-workers.test.ts
@@ -2,7 +2,7 @@
 import t from 'tap';
 import type { Milliseconds } from '../../src/core/units.js';
 import { ColdWorkers, type ColdWorkersOptions } from '../../src/fleet/cold-workers.js';
-import type { PermitAnswer, PermitWish } from '../../src/placement/cold-permits.js';
+import type { PermitAnswer, PermitRequest } from '../../src/placement/cold-permits.js';
 import type { Service, WorkerRecord } from '../../src/serving/traffic-configuration.js';
 import { WorkerRegistry } from '../../src/serving/worker-registry.js';
 import { FleetMetrics } from '../../src/telemetry/fleet-metrics.js';
@@ -26,7 +26,7 @@
   readonly clock = new ManualClock();
   readonly registry = new WorkerRegistry();
   readonly metrics = new FleetMetrics();
-  readonly asked: { readonly node: string; readonly wishes: readonly PermitWish[] }[] = [];
+  readonly asked: { readonly node: string; readonly wishes: readonly PermitRequest[] }[] = [];
   readonly looked: string[] = [];
   readonly lines: string[];
   coordinator: string | undefined = 'granter';
--- a/test/fleet/fleet-peers.test.ts
+++ b/test/fleet/fleet-peers.test.ts
@@ -2,7 +2,7 @@
 import { FleetPeers } from '../../src/fleet/fleet-peers.js';
 import type { FleetRegistry } from '../../src/fleet/fleet-registry.js';
 import { JobPlacement } from '../../src/fleet/job-placement.js';
-import { PeerAnswering } from '../../src/fleet/peer-request-handler.js';
+import { PeerRequestHandler } from '../../src/fleet/peer-request-handler.js';
 import type { JobService } from '../../src/jobs/job-service.js';
 import type { PeerOutcome, PeerPort, PeerRequest } from '../../src/peers/peer-messages.js';
 import { PROCESS_CLOCK } from '../../src/serving/clock.js';
@@ -19,7 +19,7 @@
 
 interface Fixture {
   readonly peers: FleetPeers;
-  readonly answering: PeerAnswering;
+  readonly answering: PeerRequestHandler;
   readonly asked: { readonly address: string; readonly kind: string }[];
   /** The nodes that are to run the job, in order. */
   readonly owners: readonly string[];
@@ -67,7 +67,7 @@
     weightsNeeded: unused,
   };
   const peers = new FleetPeers(shared);
-  const answering = new PeerAnswering({
+  const answering = new PeerRequestHandler({
     ...shared,
     jobs: () => JOBS as unknown as JobService,
     relay: unused,
--- a/test/fleet/fleet-registry.test.ts
+++ b/test/fleet/fleet-registry.test.ts
@@ -1,6 +1,6 @@
 import t from 'tap';
 import { SharedStoreEmulator } from '../../lab/emulator/shared-store-emulator.js';
-import { type Departure, FleetRegistry } from '../../src/fleet/fleet-registry.js';
+import { FleetRegistry, type NodeTermination } from '../../src/fleet/fleet-registry.js';
 import { PROCESS_CLOCK } from '../../src/serving/clock.js';
 import { OTHER, OWNER } from '../jobs/job-fixtures.js';
 import { recordingLog } from '../serving/serving-fixtures.js';
@@ -18,7 +18,7 @@
 t.test('a node registers itself and sees the others come, be replaced and go', async (t) => {
   const store = new SharedStoreEmulator();
   const fleet = registry(store);
-  const departures: Departure[] = [];
+  const departures: NodeTermination[] = [];
   fleet.departures.subscribe((departure) => departures.push(departure));
   fleet.start();
   await eventually(() => fleet.isLive(OWNER));
--- a/test/fleet/job-placement.test.ts
+++ b/test/fleet/job-placement.test.ts
@@ -1,7 +1,7 @@
 import t from 'tap';
 import { JobPlacement } from '../../src/fleet/job-placement.js';
 import { localitiesOf } from '../../src/placement/locality.js';
-import { withoutRegions, ZoneTopology } from '../../src/placement/zone-topology.js';
+import { topologyWithoutRegions, ZoneTopology } from '../../src/placement/zone-topology.js';
 
 const NAMES = Array.from({ length: 165 }, (_, index) => `node-${index}`);
 const JOBS = Array.from({ length: 200 }, (_, index) => `job-${index}`);
@@ -62,7 +62,7 @@
 
 function zonedPlacement(own: string, capacityOf: (node: string) => number = () => 1) {
   const clock = new HeldClock();
-  const zones = localitiesOf(withoutRegions(own), true);
+  const zones = localitiesOf(topologyWithoutRegions(own), true);
   const localities = zones && { ...zones, zoneOf };
   const placed = new JobPlacement({ liveNodes: () => ZONED, capacityOf, localities, clock });
   return { clock, placed };
--- a/test/fleet/peer-requester.test.ts
+++ b/test/fleet/peer-requester.test.ts
@@ -5,7 +5,7 @@
  */
 import t from 'tap';
 import type { FleetRegistry } from '../../src/fleet/fleet-registry.js';
-import { PeerCalls } from '../../src/fleet/peer-requester.js';
+import { PeerRequester } from '../../src/fleet/peer-requester.js';
 import type { PeerPort } from '../../src/peers/peer-messages.js';
 import { type DistanceBetween, ZoneTopology } from '../../src/placement/zone-topology.js';
 import { FleetMetrics } from '../../src/telemetry/fleet-metrics.js';
@@ -42,7 +42,7 @@
     ownerOf: (node: string) => ({ node, incarnation: 'life', address: node }),
   } as unknown as FleetRegistry;
   const options = { port, fleet, self: OWNER, zone: 'south-1', metrics: new FleetMetrics() };
-  const calls = new PeerCalls({ ...options, ...(distanceBetween && { distanceBetween }) });
+  const calls = new PeerRequester({ ...options, ...(distanceBetween && { distanceBetween }) });
   return { calls, probed };
 }
 
--- a/test/fleet/regional-gateways.ts
+++ b/test/fleet/regional-gateways.ts
@@ -10,7 +10,7 @@
 import type { Milliseconds } from '../../src/core/units.js';
 import { GatewayNode } from '../../src/fleet/gateway-node.js';
 import type { JobSpecification } from '../../src/jobs/job-records.js';
-import type { ReplicaPlace } from '../../src/journal/replica-location.js';
+import type { ReplicaLocation } from '../../src/journal/replica-location.js';
 import { REPLICA_PREFIX } from '../../src/journal/replica-record.js';
 import type {
   PeerHandler,
@@ -64,7 +64,7 @@
 /** The replicas of the zones' journals, by address, and where each of them stands. */
 export interface Replicas {
   readonly byAddress: ReadonlyMap<string, PeerHandler>;
-  readonly places: readonly ReplicaPlace[];
+  readonly places: readonly ReplicaLocation[];
 }
 
 /** Replicas that keep a job. */
@@ -266,7 +266,7 @@
 /** Two replicas in each zone, which go with a test. */
 export async function replicasInAllZones(test: Pick<typeof t, 'teardown'>): Promise<Replicas> {
   const byAddress = new Map<string, PeerHandler>();
-  const places: ReplicaPlace[] = [];
+  const places: ReplicaLocation[] = [];
   for (const zone of ZONE_REGIONS.keys()) {
     for (const number of [1, 2]) {
       const replica = await openReplica(temporaryFolder(test));
--- a/test/fleet/submission-router.test.ts
+++ b/test/fleet/submission-router.test.ts
@@ -5,7 +5,7 @@
 import t from 'tap';
 import type { FleetRegistry } from '../../src/fleet/fleet-registry.js';
 import type { JobPlacement } from '../../src/fleet/job-placement.js';
-import type { PeerCalls } from '../../src/fleet/peer-requester.js';
+import type { PeerRequester } from '../../src/fleet/peer-requester.js';
 import { SUBMIT_LIMIT, SubmissionRouter } from '../../src/fleet/submission-router.js';
 import type { PeerRequestOf } from '../../src/peers/peer-messages.js';
 import { ManualClock, OWNER, specification } from '../jobs/job-fixtures.js';
@@ -27,7 +27,7 @@
       asked.push(node);
       return use(request, clock);
     },
-  } as unknown as PeerCalls;
+  } as unknown as PeerRequester;
   const placement = {
     offersFor: () => ['node-2', 'node-3'],
     noteSilent: () => {},
--- a/test/jobs/item-work-cache.test.ts
+++ b/test/jobs/item-work-cache.test.ts
@@ -1,6 +1,6 @@
 import t from 'tap';
 import { SharedStoreEmulator } from '../../lab/emulator/shared-store-emulator.js';
-import { KeptItems } from '../../src/jobs/item-work-cache.js';
+import { ItemWorkCache } from '../../src/jobs/item-work-cache.js';
 import { JobStore } from '../../src/jobs/job-store.js';
 import { OwnedJob } from '../../src/jobs/owned-job.js';
 import { always, headOf, ManualClock, OWNER, result, specification } from './job-fixtures.js';
@@ -26,7 +26,7 @@
 t.test('groups that are not whole are kept, whole ones are not', async (t) => {
   const clock = new ManualClock();
   const job = await closedJob(clock);
-  const kept = new KeptItems(clock);
+  const kept = new ItemWorkCache(clock);
   kept.keep(job);
   const work = job.spec.items.map((item) => kept.find(item)?.kind);
   t.same(work, [undefined, undefined, 'finished', 'unfinished']);
@@ -35,7 +35,7 @@
 t.test('an id that asks for something else finds nothing', async (t) => {
   const clock = new ManualClock();
   const job = await closedJob(clock);
-  const kept = new KeptItems(clock);
+  const kept = new ItemWorkCache(clock);
   kept.keep(job);
   const [item] = job.spec.items.slice(2);
   if (item === undefined) throw new Error('no item');
@@ -45,7 +45,7 @@
 t.test('kept work is forgotten after a while', async (t) => {
   const clock = new ManualClock();
   const job = await closedJob(clock);
-  const kept = new KeptItems(clock);
+  const kept = new ItemWorkCache(clock);
   kept.keep(job);
   clock.time += 60_000;
   const [item] = job.spec.items.slice(2);
@@ -56,7 +56,7 @@
   const clock = new ManualClock();
   const store = new JobStore(new SharedStoreEmulator(), clock);
   const first = await closedJob(clock);
-  const kept = new KeptItems(clock);
+  const kept = new ItemWorkCache(clock);
   kept.keep(first);
   const later = async (minVersion: number): Promise<OwnedJob> => {
     const spec = specification(`later-${minVersion}`, 4, minVersion);
--- a/test/jobs/journaled-jobs.test.ts
+++ b/test/jobs/journaled-jobs.test.ts
@@ -12,7 +12,7 @@
 import { NO_PEERS } from '../../lab/common/no-peers.js';
 import { SharedStoreEmulator } from '../../lab/emulator/shared-store-emulator.js';
 import { JobStore } from '../../src/jobs/job-store.js';
-import type { ReplicaPlace } from '../../src/journal/replica-location.js';
+import type { ReplicaLocation } from '../../src/journal/replica-location.js';
 import type { EngineOutcome } from '../../src/serving/engine-port.js';
 import { UNRESTRICTED } from '../../src/tenants/tenant.js';
 import { eventually } from '../fleet/fleet-fixtures.js';
@@ -339,7 +339,7 @@
 t.test('who lost its claim while it asked the other zones takes the job in no more', async (t) => {
   const place = await zoneWithStore(t);
   const { emulator, zone, node } = place;
-  const far: ReplicaPlace = { node: 'far', zone: 'zone-2', address: '10.0.9.9:1', disk: 'far' };
+  const far: ReplicaLocation = { node: 'far', zone: 'zone-2', address: '10.0.9.9:1', disk: 'far' };
   const journals = zone.journals(WRITER, 'zone-1', undefined, [far]);
   const waiting = jobNode(emulator, OWNER, new ScriptedEngine(), NO_PEERS, { journals });
   node.dispatcher.stop();
--- a/test/jobs/lethal-items.test.ts
+++ b/test/jobs/lethal-items.test.ts
@@ -14,7 +14,7 @@
 import type {
   EngineOutcome,
   EngineRequest,
-  WorkerStanding,
+  WorkerLiveness,
 } from '../../src/serving/engine-port.js';
 import { requestFingerprint } from '../../src/serving/request-fingerprint.js';
 import { answer, BROKEN, events, ScriptedEngine, worker } from '../serving/serving-fixtures.js';
@@ -43,7 +43,7 @@
     this.node?.registry.put(worker(`worker-${this.started}`, { service }));
   }
 
-  override async standingOf(asked?: { readonly id: string }): Promise<WorkerStanding> {
+  override async standingOf(asked?: { readonly id: string }): Promise<WorkerLiveness> {
     return this.ended.includes(asked?.id ?? '') ? 'ended' : 'lives';
   }
 
--- a/test/jobs/near-zone.test.ts
+++ b/test/jobs/near-zone.test.ts
@@ -6,8 +6,8 @@
 import t from 'tap';
 import type { ItemNeeds } from '../../src/jobs/item-placement.js';
 import { PlacementRound } from '../../src/jobs/placement-round.js';
-import { itemWayCost } from '../../src/placement/distance-costs.js';
-import { withoutRegions } from '../../src/placement/zone-topology.js';
+import { itemDistanceCost } from '../../src/placement/distance-costs.js';
+import { topologyWithoutRegions } from '../../src/placement/zone-topology.js';
 import { KnownWorker } from '../../src/serving/worker-registry.js';
 import { worker } from '../serving/serving-fixtures.js';
 
@@ -33,7 +33,8 @@
 
 /** Places items and counts them by the zone of their workers. */
 function placeItems(workers: KnownWorker[], items: number, nearZone?: string): number[] {
-  const wayCost = nearZone === undefined ? undefined : itemWayCost(withoutRegions(nearZone), true);
+  const wayCost =
+    nearZone === undefined ? undefined : itemDistanceCost(topologyWithoutRegions(nearZone), true);
   const round = new PlacementRound(workers, NOW, wayCost);
   const counts = new Map(ZONES.map((zone) => [zone, 0]));
   for (let item = 0; item < items; item += 1) {
--- a/test/journal/journal-fixtures.ts
+++ b/test/journal/journal-fixtures.ts
@@ -6,7 +6,7 @@
 import type { JournalEntry } from '../../src/journal/journal-entries.js';
 import { JournalReplica } from '../../src/journal/journal-replica.js';
 import { ReplicaDirectory } from '../../src/journal/replica-directory.js';
-import type { ReplicaPlace } from '../../src/journal/replica-location.js';
+import type { ReplicaLocation } from '../../src/journal/replica-location.js';
 import { REPLICA_PREFIX } from '../../src/journal/replica-record.js';
 import { ZoneJournals } from '../../src/journal/zone-journals.js';
 import type { PeerOutcome, PeerPort, PeerRequest } from '../../src/peers/peer-messages.js';
@@ -37,9 +37,9 @@
   /** Addresses that cannot be reached. */
   readonly unreachable = new Set<string>();
   /** Addresses of replicas of other zones that hold nothing; the others of these do not answer. */
-  readonly denying = new Map<string, ReplicaPlace>();
+  readonly denying = new Map<string, ReplicaLocation>();
   readonly folders = new Map<string, string>();
-  readonly places: ReplicaPlace[] = [];
+  readonly places: ReplicaLocation[] = [];
   readonly asked: PeerRequest[] = [];
 
   private constructor(private readonly test: Test) {}
@@ -95,7 +95,7 @@
     writer: string,
     zone = ZONE,
     clock = new ManualClock(),
-    elsewhere: readonly ReplicaPlace[] = [],
+    elsewhere: readonly ReplicaLocation[] = [],
   ): ZoneJournals {
     const directory = new ReplicaDirectory({ clock, groupSize: 3 });
     for (const place of [...this.places, ...elsewhere]) {
--- a/test/journal/older-build.test.ts
+++ b/test/journal/older-build.test.ts
@@ -6,7 +6,7 @@
 import { JobJournal } from '../../src/journal/job-journal.js';
 import type { JournalEntry } from '../../src/journal/journal-entries.js';
 import { JournalReplica } from '../../src/journal/journal-replica.js';
-import { parseReplicaPlace, replicaRecordOf } from '../../src/journal/replica-record.js';
+import { parseReplicaLocation, replicaRecordOf } from '../../src/journal/replica-record.js';
 import { FleetMetrics } from '../../src/telemetry/fleet-metrics.js';
 import { JOURNAL_DISK, JOURNAL_LINES, RECORDS } from '../fixtures/format-1.js';
 import { FORMAT_1 } from '../fixtures/format-1-schemas.js';
@@ -136,7 +136,7 @@
 
 t.test('records of replicas are read both ways', async (t) => {
   const record = RECORDS['fleet/replica/disk-1'];
-  t.same(parseReplicaPlace(record), JSON.parse(record));
+  t.same(parseReplicaLocation(record), JSON.parse(record));
   const place = { node: 'disk-1', zone: 'zone-1', address: '10.0.0.9:1', disk: 'disk-life-1' };
   t.same(FORMAT_1.replica.safeParse(JSON.parse(replicaRecordOf(place))).data, place);
 });
--- a/test/placement/cold-fleet.ts
+++ b/test/placement/cold-fleet.ts
@@ -6,7 +6,7 @@
 import { PermitGranter } from '../../src/placement/permit-granter.js';
 import { SendRules } from '../../src/placement/send-rules.js';
 import { WorkerWarmth } from '../../src/placement/worker-warmth.js';
-import { ageingTime } from '../../src/serving/clock.js';
+import { suspendAwareTime } from '../../src/serving/clock.js';
 import type { ColdStart, WorkerRecord } from '../../src/serving/traffic-configuration.js';
 import { FleetMetrics } from '../../src/telemetry/fleet-metrics.js';
 import { ManualClock } from '../jobs/job-fixtures.js';
@@ -59,7 +59,7 @@
 
   /** Asks a granter that answers at once. */
   ask(granter: ColdGateway): PermitAnswer {
-    const sentAt = ageingTime(this.clock);
+    const sentAt = suspendAwareTime(this.clock);
     this.wantsPermits = false;
     const answer = granter.granter.answer(this.rule.takeWishes());
     this.take(answer, sentAt);
--- a/test/placement/distance-costs.test.ts
+++ b/test/placement/distance-costs.test.ts
@@ -6,8 +6,8 @@
 import t from 'tap';
 import type { ItemNeeds } from '../../src/jobs/item-placement.js';
 import { PlacementRound } from '../../src/jobs/placement-round.js';
-import { itemWayCost } from '../../src/placement/distance-costs.js';
-import { withoutRegions, ZoneTopology } from '../../src/placement/zone-topology.js';
+import { itemDistanceCost } from '../../src/placement/distance-costs.js';
+import { topologyWithoutRegions, ZoneTopology } from '../../src/placement/zone-topology.js';
 import { KnownWorker, WorkerRegistry } from '../../src/serving/worker-registry.js';
 import { worker } from '../serving/serving-fixtures.js';
 
@@ -79,7 +79,7 @@
       return made;
     }),
   );
-  const round = new PlacementRound(workers, NOW, itemWayCost(TOPOLOGY, false));
+  const round = new PlacementRound(workers, NOW, itemDistanceCost(TOPOLOGY, false));
   const placed: string[] = [];
   for (let item = 0; item < items; item += 1) {
     const chosen = round.place(needs, undefined);
@@ -110,7 +110,7 @@
 t.test('a near worker that others have filled is no reason to stay', async (t) => {
   const near = new KnownWorker(worker('near', { zone: 'north-2', slots: SLOTS }));
   const far = new KnownWorker(worker('far', { zone: 'south-1', slots: SLOTS }));
-  const round = new PlacementRound([near, far], NOW, itemWayCost(TOPOLOGY, false));
+  const round = new PlacementRound([near, far], NOW, itemDistanceCost(TOPOLOGY, false));
   near.noteLoad({ running: SLOTS - 1, waiting: 0, slots: SLOTS }, NOW);
   t.equal(round.place(NEEDS, undefined), near);
   near.noteLoad({ running: SLOTS, waiting: 1, slots: SLOTS }, NOW);
@@ -118,10 +118,10 @@
 });
 
 t.test('in one region all workers are as near to an item, unless zones serve alone', async (t) => {
-  t.equal(itemWayCost(withoutRegions('zone-1'), false), undefined);
+  t.equal(itemDistanceCost(topologyWithoutRegions('zone-1'), false), undefined);
   const oneRegion = new ZoneTopology('zone-1', new Map([['zone-1', 'north']]));
-  t.equal(itemWayCost(oneRegion, false), undefined);
+  t.equal(itemDistanceCost(oneRegion, false), undefined);
   t.equal(oneRegion.distanceTo('zone-unknown'), 'same-region', 'a zone the settings do not name');
-  const byZone = itemWayCost(withoutRegions('zone-1'), true);
+  const byZone = itemDistanceCost(topologyWithoutRegions('zone-1'), true);
   t.same([byZone?.('zone-1'), byZone?.('zone-2')], [0, 0.3]);
 });
--- a/test/placement/job-residency.test.ts
+++ b/test/placement/job-residency.test.ts
@@ -6,7 +6,7 @@
 import t from 'tap';
 import type { FleetRegistry } from '../../src/fleet/fleet-registry.js';
 import { JobPlacement } from '../../src/fleet/job-placement.js';
-import type { PeerCalls } from '../../src/fleet/peer-requester.js';
+import type { PeerRequester } from '../../src/fleet/peer-requester.js';
 import { SubmissionRouter } from '../../src/fleet/submission-router.js';
 import { JobResidency } from '../../src/placement/job-residency.js';
 import { localitiesOf } from '../../src/placement/locality.js';
@@ -147,7 +147,7 @@
       reachesStore: async () => true,
       nodeThatReachesStore: async (_: string, mayAsk: (node: string) => boolean) =>
         live.filter((node) => node !== 'node-0').find(mayAsk),
-    } as unknown as PeerCalls;
+    } as unknown as PeerRequester;
     const router = new SubmissionRouter({
       ...{ calls, placement, clock, residency },
       fleet: { isCutOff: fleet.isCutOff } as unknown as FleetRegistry,
--- a/test/placement/shared-rate.ts
+++ b/test/placement/shared-rate.ts
@@ -1,7 +1,7 @@
 /** A way to spare cold workers without a granter, which permits are compared with. */
 import { rendezvousOrder } from '../../src/core/hashing.js';
 import { PermitBucket, type PermitPace, permitPace } from '../../src/placement/permit-bucket.js';
-import type { SendObstacle, SendRule } from '../../src/placement/send-rules.js';
+import type { SendRejection, SendRule } from '../../src/placement/send-rules.js';
 import type { WorkerRecord } from '../../src/serving/traffic-configuration.js';
 import { COLD_START, type ColdGateway, TOLERANCE } from './cold-fleet.js';
 
@@ -18,7 +18,7 @@
     private readonly alive: () => readonly string[],
   ) {}
 
-  obstacleTo(record: WorkerRecord): SendObstacle | undefined {
+  obstacleTo(record: WorkerRecord): SendRejection | undefined {
     if (this.gateway.warmth.of(record, COLD_START).kind === 'warm') return undefined;
     const senders = rendezvousOrder(record.id, this.alive(), (name) => name).slice(0, 2);
     if (!senders.includes(this.name)) return 'worker-cold';
--- a/test/placement/stale-evacuation-rule.test.ts
+++ b/test/placement/stale-evacuation-rule.test.ts
@@ -1,12 +1,12 @@
 /** How long a node that hears from nobody acts on what it knows of evacuations. */
 import t from 'tap';
-import { EvacuationBelief } from '../../src/placement/stale-evacuation-rule.js';
+import { StaleEvacuationRule } from '../../src/placement/stale-evacuation-rule.js';
 
 /** A belief whose surroundings a test sets. */
 function fixture() {
   const surroundings = { limit: 5_000 as number | undefined, age: 0, hasPeers: true };
   const lines: string[] = [];
-  const belief = new EvacuationBelief({
+  const belief = new StaleEvacuationRule({
     limit: () => surroundings.limit,
     contactAge: () => surroundings.age,
     hasPeers: () => surroundings.hasPeers,
--- a/test/platform-adapter/settings.test.ts
+++ b/test/platform-adapter/settings.test.ts
@@ -1,5 +1,5 @@
 import t from 'tap';
-import { parseSettings, SettingsProblem } from '../../platform/settings.js';
+import { parseSettings, SettingsError } from '../../platform/settings.js';
 
 const LINES = [
   'node_name=front-1',
@@ -68,7 +68,7 @@
 
 t.test('a missing or malformed field is named', async (t) => {
   const without = LINES.filter((line) => !line.startsWith('platform.address'));
-  t.throws(() => parseSettings(without.join('\n')), new SettingsProblem());
+  t.throws(() => parseSettings(without.join('\n')), new SettingsError());
   t.throws(() => parseSettings(without.join('\n')), /platform\.address/);
   const malformed = LINES.map((line) => line.replace('grace_s=6', 'grace_s=soon'));
   t.throws(() => parseSettings(malformed.join('\n')), /bounds\.grace_s/);
--- a/test/serving/request-quarantine.test.ts
+++ b/test/serving/request-quarantine.test.ts
@@ -1,7 +1,7 @@
 import t from 'tap';
 import { EVIDENCE_LIFETIME, MOST_ENDED_WORKERS } from '../../src/serving/crash-evidence.js';
-import type { WorkerStanding } from '../../src/serving/engine-port.js';
-import { AskedRequest } from '../../src/serving/request-fingerprint.js';
+import type { WorkerLiveness } from '../../src/serving/engine-port.js';
+import { FingerprintedRequest } from '../../src/serving/request-fingerprint.js';
 import {
   type CrashReport,
   type NextSender,
@@ -12,9 +12,9 @@
 import { ManualClock } from '../jobs/job-fixtures.js';
 import { recordingLog, worker } from './serving-fixtures.js';
 
-function asked(path: string): AskedRequest {
+function asked(path: string): FingerprintedRequest {
   const work = { method: 'POST', host: 'h', path, tenant: undefined, body: Buffer.from('b') };
-  return new AskedRequest(() => work);
+  return new FingerprintedRequest(() => work);
 }
 
 class Fixture {
@@ -24,7 +24,7 @@
   readonly lines: readonly string[];
   readonly quarantine: RequestQuarantine;
   questions = 0;
-  standing: WorkerStanding = 'ended';
+  standing: WorkerLiveness = 'ended';
 
   constructor() {
     const { log, lines } = recordingLog();
@@ -43,7 +43,7 @@
   }
 
   /** Workers of these names end while the request is there. */
-  async endUnder(request: AskedRequest, names: string[], next: NextSender = 'any-node') {
+  async endUnder(request: FingerprintedRequest, names: string[], next: NextSender = 'any-node') {
     for (const name of names) await this.quarantine.noteBroken(worker(name), request, next);
   }
 }
@@ -174,7 +174,7 @@
 
 t.test('a request of which nothing is known costs no pass over its body', async (t) => {
   const fixture = new Fixture();
-  const request = new AskedRequest(() => {
+  const request = new FingerprintedRequest(() => {
     throw new Error('worked out');
   });
   t.ok(fixture.quarantine.admits(request));
@@ -187,8 +187,8 @@
   for (let index = 0; index < 200_000; index += 1) {
     fixture.quarantine.take({ worker: 'w1', requests: [`request-${index}`] }, 0);
   }
-  const newest = { fingerprint: 'request-199999' } as AskedRequest;
-  const oldest = { fingerprint: 'request-100000' } as AskedRequest;
+  const newest = { fingerprint: 'request-199999' } as FingerprintedRequest;
+  const oldest = { fingerprint: 'request-100000' } as FingerprintedRequest;
   t.equal(fixture.quarantine.endedUnder(newest).length, 1);
   t.equal(fixture.quarantine.endedUnder(oldest).length, 0);
 });
--- a/test/serving/serving-fixtures.ts
+++ b/test/serving/serving-fixtures.ts
@@ -12,7 +12,7 @@
   HeaderList,
   OrderOutcome,
   WeightOrder,
-  WorkerStanding,
+  WorkerLiveness,
 } from '../../src/serving/engine-port.js';
 import { RequestQuarantine } from '../../src/serving/request-quarantine.js';
 import type {
@@ -175,7 +175,7 @@
     return this.reports.shift();
   }
 
-  async standingOf(): Promise<WorkerStanding> {
+  async standingOf(): Promise<WorkerLiveness> {
     return 'lives';
   }
 
@@ -190,7 +190,7 @@
 
 /** A quarantine of a node that is alone; all workers live unless it is told otherwise. */
 export function quarantine(
-  standingOf: (worker: WorkerRecord) => Promise<WorkerStanding> = async () => 'lives',
+  standingOf: (worker: WorkerRecord) => Promise<WorkerLiveness> = async () => 'lives',
 ): RequestQuarantine {
   return new RequestQuarantine({
     standingOf,
--- a/test/serving/worker-incarnation.test.ts
+++ b/test/serving/worker-incarnation.test.ts
@@ -4,7 +4,7 @@
  * (versions shown, penalties, pace, load, a group's prompt) went on to count for the new life.
  */
 import t from 'tap';
-import { lifeOf } from '../../src/serving/worker-incarnation.js';
+import { workerIncarnationOf } from '../../src/serving/worker-incarnation.js';
 import { WorkerRegistry } from '../../src/serving/worker-registry.js';
 import { worker } from './serving-fixtures.js';
 
@@ -43,7 +43,7 @@
 });
 
 t.test('lives under one id have names of their own', async (t) => {
-  t.equal(lifeOf(worker('w1')), 'w1');
-  const names = [1_000, 2_000].map((startedAt) => lifeOf(worker('w1', { startedAt })));
+  t.equal(workerIncarnationOf(worker('w1')), 'w1');
+  const names = [1_000, 2_000].map((startedAt) => workerIncarnationOf(worker('w1', { startedAt })));
   t.equal(new Set([...names, 'w1']).size, 3);
 });
--- a/test/settings/live-settings.test.ts
+++ b/test/settings/live-settings.test.ts
@@ -2,7 +2,7 @@
 import os from 'node:os';
 import path from 'node:path';
 import t from 'tap';
-import { readSettings, SettingsProblem } from '../../platform/settings.js';
+import { readSettings, SettingsError } from '../../platform/settings.js';
 import { PROCESS_CLOCK } from '../../src/serving/clock.js';
 import { LiveSettings } from '../../src/settings/live-settings.js';
 import { DecisionLog } from '../../src/telemetry/decision-log.js';
@@ -96,6 +96,6 @@
   write(['ip=10.0.0.1', '']);
   const start = (): unknown =>
     new LiveSettings({ path: file, read: readSettings, log, reloadable: ['timings'] });
-  t.throws(start, new SettingsProblem());
+  t.throws(start, new SettingsError());
   t.throws(start, /ip/);
 });
--- a/test/singleton-tasks/scaling-policy.test.ts
+++ b/test/singleton-tasks/scaling-policy.test.ts
@@ -1,8 +1,8 @@
 import t from 'tap';
-import { LargestFleetPolicy } from '../../src/singleton-tasks/scaling-policy.js';
+import { MaxWorkersPolicy } from '../../src/singleton-tasks/scaling-policy.js';
 import { ManualClock } from '../jobs/job-fixtures.js';
 
-const limits = (most: number): Parameters<LargestFleetPolicy['wanted']>[0] => ({
+const limits = (most: number): Parameters<MaxWorkersPolicy['wanted']>[0] => ({
   fewest: 1,
   most,
   bootTime: 4_000,
@@ -13,7 +13,7 @@
 });
 
 t.test('a small site gets as many workers as the operator allows, at once', async (t) => {
-  const policy = new LargestFleetPolicy(new ManualClock());
+  const policy = new MaxWorkersPolicy(new ManualClock());
   t.same(
     [...policy.wanted(limits(21), () => 0)],
     [
@@ -27,7 +27,7 @@
   'no more are ordered than gateways can follow, and never fewer than there are',
   async (t) => {
     const clock = new ManualClock();
-    const policy = new LargestFleetPolicy(clock);
+    const policy = new MaxWorkersPolicy(clock);
     const present = (zone: string): number => (zone === 'a' ? 700 : 100);
     t.same([...policy.wanted(limits(1_500), present)], [], 'not before they have registered');
     clock.time += 10_000;
--- a/test/singleton-tasks/singleton-task-fixtures.ts
+++ b/test/singleton-tasks/singleton-task-fixtures.ts
@@ -1,13 +1,13 @@
 /** A cloud interface, a lock and a node's share of usage for tests of duties. */
 import { SharedStoreEmulator } from '../../lab/emulator/shared-store-emulator.js';
 import type {
-  DutyOutcome,
-  DutyPort,
-  DutyStamp,
+  CloudCallOutcome,
+  CloudPort,
+  FencedHolder,
   UsageReport,
   WorkerOrder,
 } from '../../src/singleton-tasks/cloud-port.js';
-import type { DutyLock } from '../../src/singleton-tasks/singleton-task-lock.js';
+import type { SingletonTaskLock } from '../../src/singleton-tasks/singleton-task-lock.js';
 import { UsageCounts } from '../../src/singleton-tasks/usage-counts.js';
 import { UsageMeter } from '../../src/singleton-tasks/usage-meter.js';
 import { UsageRecords } from '../../src/singleton-tasks/usage-records.js';
@@ -21,24 +21,24 @@
 export const DUE_AFTER = 10_000;
 
 /** Takes calls down; outcomes that were not given are `accepted`. */
-export class StubCloud implements DutyPort {
-  readonly reports: { readonly report: UsageReport; readonly stamp: DutyStamp }[] = [];
+export class StubCloud implements CloudPort {
+  readonly reports: { readonly report: UsageReport; readonly stamp: FencedHolder }[] = [];
   readonly orders: WorkerOrder[] = [];
-  outcomes: DutyOutcome[] = [];
+  outcomes: CloudCallOutcome[] = [];
 
-  async reportUsage(report: UsageReport, stamp: DutyStamp): Promise<DutyOutcome> {
+  async reportUsage(report: UsageReport, stamp: FencedHolder): Promise<CloudCallOutcome> {
     this.reports.push({ report, stamp });
     return this.outcomes.shift() ?? 'accepted';
   }
 
-  async orderWorkers(order: WorkerOrder): Promise<DutyOutcome> {
+  async orderWorkers(order: WorkerOrder): Promise<CloudCallOutcome> {
     this.orders.push(order);
     return this.outcomes.shift() ?? 'accepted';
   }
 }
 
 /** A lock that a test gives and takes. */
-export class StubLock implements DutyLock {
+export class StubLock implements SingletonTaskLock {
   token: number | undefined = 7;
   readonly refused: number[] = [];
   underWay = 0;
--- a/test/singleton-tasks/usage-sender.test.ts
+++ b/test/singleton-tasks/usage-sender.test.ts
@@ -3,7 +3,7 @@
 import { UsageCounts, type WindowCounts } from '../../src/singleton-tasks/usage-counts.js';
 import { UsageMeter } from '../../src/singleton-tasks/usage-meter.js';
 import { UsageRecords } from '../../src/singleton-tasks/usage-records.js';
-import { type DutyHolder, UsageSender } from '../../src/singleton-tasks/usage-sender.js';
+import { type SingletonTaskHolder, UsageSender } from '../../src/singleton-tasks/usage-sender.js';
 import { UsageWindows } from '../../src/singleton-tasks/usage-windows.js';
 import { ManualClock } from '../jobs/job-fixtures.js';
 import { recordingLog } from '../serving/serving-fixtures.js';
@@ -15,7 +15,7 @@
   readonly records: UsageRecords;
   readonly told: { readonly holder: string; readonly counts: WindowCounts }[];
   readonly clock: ManualClock;
-  duties: DutyHolder;
+  duties: SingletonTaskHolder;
   answers: boolean;
 }
 
@@ -25,7 +25,7 @@
   const gathered = new UsageCounts();
   const records = new UsageRecords(new SharedStoreEmulator(), () => {});
   const told: Fixture['told'] = [];
-  const state = { duties: { holder: 'holder', term: 1 } as DutyHolder, answers: true };
+  const state = { duties: { holder: 'holder', term: 1 } as SingletonTaskHolder, answers: true };
   const sender = new UsageSender({
     ...{ meter, gathered, records, clock },
     source: 'own-life',
