--- a/src/fleet/cold-workers.ts
+++ b/src/fleet/cold-workers.ts
@@ -15,7 +15,7 @@
 import type { WorkerRegistry } from '../serving/worker-registry.js';
 import type { DecisionLog } from '../telemetry/decision-log.js';
 import type { FleetMetrics } from '../telemetry/fleet-metrics.js';
-import { LOCK_VALIDITY } from './coordinator-lock.js';
+import { FENCING_TOKEN_VALIDITY } from './coordinator-lock.js';
 
 /** Least time between two questions of this node. */
 const ASK_INTERVAL: Milliseconds = 100;
@@ -92,7 +92,7 @@
       ...shared,
       tolerance,
       fencingToken,
-      tokenValidity: LOCK_VALIDITY,
+      tokenValidity: FENCING_TOKEN_VALIDITY,
       workerOf: (id) => registry().get(id)?.record,
       look: (worker) => this.lookSoon(worker),
     });
--- a/src/fleet/coordinator-lock.ts
+++ b/src/fleet/coordinator-lock.ts
@@ -37,7 +37,7 @@
 const RANK_DELAY: Milliseconds = 400;
 
 /** Time after a renewal of its lease was sent in which the holder may give orders. */
-export const LOCK_VALIDITY: Milliseconds = 1_000;
+export const FENCING_TOKEN_VALIDITY: Milliseconds = 1_000;
 
 /** Pause after an attempt that did not get the lock. */
 const RETRY_PAUSE: Milliseconds = 300;
@@ -111,7 +111,7 @@
     const { fleet, clock } = this.options;
     if (this.ownNonce === undefined || clock.now() < this.activeFrom) return undefined;
     if (fleet.leaseId !== this.ownLease) return undefined;
-    return fleet.renewalAge() < LOCK_VALIDITY ? this.token : undefined;
+    return fleet.renewalAge() < FENCING_TOKEN_VALIDITY ? this.token : undefined;
   }
 
   /** The token for one order; {@link endOrder} is called once the order is answered or given up. */
@@ -170,7 +170,7 @@
     if (clock.now() - this.freeSince < turn * RANK_DELAY) return;
     // The lock hangs on a lease that lapses soon after its holder fell silent.
     fleet.takeDuties();
-    if (!fleet.hasPromptLease || fleet.renewalAge() >= LOCK_VALIDITY) {
+    if (!fleet.hasPromptLease || fleet.renewalAge() >= FENCING_TOKEN_VALIDITY) {
       fleet.renewSoon();
       return;
     }
@@ -262,7 +262,7 @@
    */
   private handOverDelay(): Milliseconds {
     const { handOverDelay, areTokensChecked } = this.options;
-    return handOverDelay() + (areTokensChecked() ? 0 : LOCK_VALIDITY);
+    return handOverDelay() + (areTokensChecked() ? 0 : FENCING_TOKEN_VALIDITY);
   }
 
   /**
--- a/src/fleet/fleet-peers.ts
+++ b/src/fleet/fleet-peers.ts
@@ -20,7 +20,7 @@
   type PermitAnswer,
   type PermitRequest,
 } from '../placement/cold-permits.js';
-import { JOBS_ANYWHERE, type JobResidency } from '../placement/job-residency.js';
+import { type JobResidency, UNRESTRICTED_RESIDENCY } from '../placement/job-residency.js';
 import type { DistanceBetween } from '../placement/zone-topology.js';
 import type { Clock } from '../serving/clock.js';
 import type { CrashReport } from '../serving/request-quarantine.js';
@@ -87,7 +87,7 @@
   private readonly residency: JobResidency;
 
   constructor(private readonly options: FleetPeersOptions) {
-    this.residency = options.residency ?? JOBS_ANYWHERE;
+    this.residency = options.residency ?? UNRESTRICTED_RESIDENCY;
     this.calls = new PeerRequester(options);
     this.submissions = new SubmissionRouter({ ...options, calls: this.calls });
   }
--- a/src/fleet/job-takeover.ts
+++ b/src/fleet/job-takeover.ts
@@ -12,7 +12,11 @@
 import type { JobService } from '../jobs/job-service.js';
 import type { JobStore, VersionedHead } from '../jobs/job-store.js';
 import type { PeerPort } from '../peers/peer-messages.js';
-import { JOBS_ANYWHERE, type JobResidency, type MayHold } from '../placement/job-residency.js';
+import {
+  type JobResidency,
+  type MayHold,
+  UNRESTRICTED_RESIDENCY,
+} from '../placement/job-residency.js';
 import type { FleetRegistry, NodeTermination } from './fleet-registry.js';
 import type { JobPlacement } from './job-placement.js';
 
@@ -80,7 +84,7 @@
   private readonly residency: JobResidency;
 
   constructor(private readonly options: JobTakeoverOptions) {
-    this.residency = options.residency ?? JOBS_ANYWHERE;
+    this.residency = options.residency ?? UNRESTRICTED_RESIDENCY;
     options.fleet.departures.subscribe((departure) => this.scanAfter(departure));
     options.fleet.listed.subscribe(() => this.scanSoon());
   }
--- a/src/fleet/submission-router.ts
+++ b/src/fleet/submission-router.ts
@@ -13,7 +13,7 @@
 import type { JobOwner, JobSpecification } from '../jobs/job-records.js';
 import type { PeerOutcome, PeerRequestOf } from '../peers/peer-messages.js';
 import type { AllowedRegions } from '../placement/allowed-regions.js';
-import { JOBS_ANYWHERE, type JobResidency } from '../placement/job-residency.js';
+import { type JobResidency, UNRESTRICTED_RESIDENCY } from '../placement/job-residency.js';
 import type { Clock } from '../serving/clock.js';
 import type { FleetRegistry } from './fleet-registry.js';
 import type { JobPlacement } from './job-placement.js';
@@ -59,7 +59,7 @@
   private readonly residency: JobResidency;
 
   constructor(private readonly options: SubmissionRouterOptions) {
-    this.residency = options.residency ?? JOBS_ANYWHERE;
+    this.residency = options.residency ?? UNRESTRICTED_RESIDENCY;
   }
 
   /** Has another node take the job in, or tells that it is for this one to store. */
--- a/src/jobs/item-dispatcher.ts
+++ b/src/jobs/item-dispatcher.ts
@@ -3,7 +3,7 @@
 import type { Milliseconds } from '../core/units.js';
 import type { AllowedRegions } from '../placement/allowed-regions.js';
 import type { DistanceCost } from '../placement/distance-costs.js';
-import { MOST_ENDED_WORKERS } from '../serving/crash-evidence.js';
+import { MAX_CRASHED_WORKERS } from '../serving/crash-evidence.js';
 import type { RouteMatcher } from '../serving/route-matcher.js';
 import type { SendingOptions } from '../serving/sending-options.js';
 import type { Route, ServiceName } from '../serving/traffic-configuration.js';
@@ -49,7 +49,7 @@
 const SUSPECT_PAUSE: Milliseconds = 4_500;
 
 /** Workers that may end under an item: as many again as under a request that is refused at once. */
-const MOST_ENDED_UNDER_ITEM = 2 * MOST_ENDED_WORKERS;
+const MOST_ENDED_UNDER_ITEM = 2 * MAX_CRASHED_WORKERS;
 
 /** Sends items to workers. */
 export class ItemDispatcher {
@@ -208,7 +208,7 @@
   /** Whether an item has to wait, or is sent no more, since workers ended under it. */
   private isHeldBack(entry: OwnedItem, now: Milliseconds): boolean {
     const ends = this.options.quarantine.endedUnder(entry.asked);
-    if (ends.length < MOST_ENDED_WORKERS) return false;
+    if (ends.length < MAX_CRASHED_WORKERS) return false;
     if (ends.length >= MOST_ENDED_UNDER_ITEM) return true;
     return now - (ends.at(-1)?.at ?? now) < SUSPECT_PAUSE;
   }
--- a/src/jobs/job-reader.ts
+++ b/src/jobs/job-reader.ts
@@ -7,7 +7,7 @@
 import type { Milliseconds } from '../core/units.js';
 import type { ZoneJournals } from '../journal/zone-journals.js';
 import type { AllowedRegions } from '../placement/allowed-regions.js';
-import { JOBS_ANYWHERE, type JobResidency } from '../placement/job-residency.js';
+import { type JobResidency, UNRESTRICTED_RESIDENCY } from '../placement/job-residency.js';
 import type { TenantName } from '../tenants/tenant.js';
 import type { JobOwner, JobResult, JobSpecification } from './job-records.js';
 import type { JobStore, Read } from './job-store.js';
@@ -77,7 +77,7 @@
     private readonly likelyOwners: (job: string) => readonly JobOwner[] = () => [],
     /** The zones' journals, where zones serve their own callers. */
     private readonly journals?: Pick<ZoneJournals, 'sightOf' | 'sightAnywhere'>,
-    private readonly residency: JobResidency = JOBS_ANYWHERE,
+    private readonly residency: JobResidency = UNRESTRICTED_RESIDENCY,
   ) {}
 
   /**
--- a/src/jobs/job-records.ts
+++ b/src/jobs/job-records.ts
@@ -7,7 +7,7 @@
 import * as z from 'zod';
 import { openRecord } from '../core/open-record.js';
 import type { Milliseconds } from '../core/units.js';
-import { REPLICA_PLACE } from '../journal/replica-location.js';
+import { REPLICA_LOCATION } from '../journal/replica-location.js';
 import type { WeightNeed } from './job-peers.js';
 
 /** The request that asks for the score of an item's text, at the service of its own route. */
@@ -74,7 +74,7 @@
   /** Number of its owner among all that it had; each has a higher one than the one before. */
   term: z.number().optional(),
   /** The replicas of its zone's journal, where it has one. */
-  replicas: z.array(REPLICA_PLACE).optional(),
+  replicas: z.array(REPLICA_LOCATION).optional(),
   /** The zone that it was handed in at; records of older builds lack it. */
   zone: z.string().optional(),
   /** A request for each route that it takes, where regions matter: who may run it depends on them. */
--- a/src/jobs/job-service.ts
+++ b/src/jobs/job-service.ts
@@ -3,7 +3,7 @@
 import type { Milliseconds } from '../core/units.js';
 import { type Failure, failure } from '../errors/error-kinds.js';
 import type { PeerAnswers } from '../peers/peer-messages.js';
-import { JOBS_ANYWHERE, type JobResidency } from '../placement/job-residency.js';
+import { type JobResidency, UNRESTRICTED_RESIDENCY } from '../placement/job-residency.js';
 import {
   type CallerIdentity,
   mayAccess,
@@ -62,7 +62,7 @@
 
   constructor(private readonly options: JobServiceOptions) {
     this.owned = new OwnedJobs(options);
-    this.residency = options.residency ?? JOBS_ANYWHERE;
+    this.residency = options.residency ?? UNRESTRICTED_RESIDENCY;
     const shared = { ...options, owned: this.owned, residency: this.residency };
     this.submissions = new JobSubmissions(shared);
     this.admission = new JobAdmission({ ...options, submissions: this.submissions });
--- a/src/jobs/owned-jobs.ts
+++ b/src/jobs/owned-jobs.ts
@@ -1,7 +1,11 @@
 /** The jobs that this node runs or ran, and the work that it kept of them. */
 import type { ZoneName } from '../core/identity.js';
 import type { ZoneJournals } from '../journal/zone-journals.js';
-import { JOBS_ANYWHERE, type JobOrigin, type JobResidency } from '../placement/job-residency.js';
+import {
+  type JobOrigin,
+  type JobResidency,
+  UNRESTRICTED_RESIDENCY,
+} from '../placement/job-residency.js';
 import type { Clock } from '../serving/clock.js';
 import type { RouteMatcher } from '../serving/route-matcher.js';
 import type { DecisionLog } from '../telemetry/decision-log.js';
@@ -54,7 +58,7 @@
   private readonly residency: JobResidency;
 
   constructor(private readonly options: OwnedJobsOptions) {
-    this.residency = options.residency ?? JOBS_ANYWHERE;
+    this.residency = options.residency ?? UNRESTRICTED_RESIDENCY;
     this.kept = new ItemWorkCache(options.clock);
   }
 
--- a/src/journal/journal-entries.ts
+++ b/src/journal/journal-entries.ts
@@ -5,14 +5,14 @@
 import * as z from 'zod';
 import { openRecord } from '../core/open-record.js';
 import { RESULT, SPECIFICATION } from '../jobs/job-records.js';
-import { type DiskId, REPLICA_PLACE } from './replica-location.js';
+import { type DiskId, REPLICA_LOCATION } from './replica-location.js';
 
 const KNOWN_ENTRY = z.discriminatedUnion('kind', [
   /** All of the job is kept from now on. */
   openRecord({
     kind: z.literal('created'),
     spec: SPECIFICATION,
-    replicas: z.array(REPLICA_PLACE),
+    replicas: z.array(REPLICA_LOCATION),
   }),
   /** Results at successive positions, as the page of this number in the shared store will be. */
   openRecord({ kind: z.literal('page'), number: z.number(), results: z.array(RESULT) }),
--- a/src/journal/replica-location.ts
+++ b/src/journal/replica-location.ts
@@ -7,7 +7,7 @@
 export type DiskId = string;
 
 /** Where one replica of a zone's journal is, and on which disk. */
-export const REPLICA_PLACE = openRecord({
+export const REPLICA_LOCATION = openRecord({
   node: z.string(),
   zone: z.string(),
   address: z.string(),
@@ -15,7 +15,7 @@
 });
 
 /** One replica of a zone's journal. */
-export type ReplicaLocation = z.infer<typeof REPLICA_PLACE> & {
+export type ReplicaLocation = z.infer<typeof REPLICA_LOCATION> & {
   readonly node: NodeId;
   readonly zone: ZoneName;
   readonly disk: DiskId;
--- a/src/journal/replica-record.ts
+++ b/src/journal/replica-record.ts
@@ -1,12 +1,12 @@
 /** What a replica of a zone's journal tells of itself in the shared store. */
 import * as z from 'zod';
 import { FORMAT_FIELD, type FormatVersion, OWN_FORMAT } from '../core/format-version.js';
-import { REPLICA_PLACE, type ReplicaLocation } from './replica-location.js';
+import { REPLICA_LOCATION, type ReplicaLocation } from './replica-location.js';
 
 /** Key prefix of the replicas' records, under the prefix of the fleet. */
 export const REPLICA_PREFIX = 'fleet/replica/';
 
-const REPLICA_RECORD = z.object({ ...REPLICA_PLACE.shape, format: FORMAT_FIELD });
+const REPLICA_RECORD = z.object({ ...REPLICA_LOCATION.shape, format: FORMAT_FIELD });
 
 /** The record of a replica that this build runs. */
 export function replicaRecordOf(place: ReplicaLocation): string {
--- a/src/placement/job-residency.ts
+++ b/src/placement/job-residency.ts
@@ -144,7 +144,7 @@
 }
 
 /** Jobs may lie anywhere. */
-export const JOBS_ANYWHERE = new JobResidency({
+export const UNRESTRICTED_RESIDENCY = new JobResidency({
   topology: topologyWithoutRegions(''),
   self: '',
   zoneOf: () => undefined,
--- a/src/serving/crash-evidence.ts
+++ b/src/serving/crash-evidence.ts
@@ -13,7 +13,7 @@
  * Workers that may end under one request. One or two may be chance: a sixth of a service's workers
  * may crash at once, and a request that breaks is sent to the next.
  */
-export const MOST_ENDED_WORKERS = 3;
+export const MAX_CRASHED_WORKERS = 3;
 
 /**
  * Time for which the end of a worker speaks against a request. Callers came again for 13 s where this
--- a/src/serving/request-quarantine.ts
+++ b/src/serving/request-quarantine.ts
@@ -1,7 +1,7 @@
 /**
  * Keeps requests that end their workers away from workers. A connection that breaks with a request
  * on it is looked into: where the worker has ended, that speaks against the request, at all nodes.
- * Once {@link MOST_ENDED_WORKERS} have ended under it, it is sent to none until the evidence is old.
+ * Once {@link MAX_CRASHED_WORKERS} have ended under it, it is sent to none until the evidence is old.
  *
  * The caller of such a request sees a failure and comes again at any node. Counting by exchange, a
  * request that may go to two workers ended eleven within 13 s where its caller came six times; by
@@ -15,7 +15,7 @@
 import {
   CrashEvidence,
   EVIDENCE_LIFETIME,
-  MOST_ENDED_WORKERS,
+  MAX_CRASHED_WORKERS,
   type WorkerEnd,
 } from './crash-evidence.js';
 import type { WorkerLiveness } from './engine-port.js';
@@ -85,14 +85,14 @@
    */
   admits(asked: FingerprintedRequest, underWay = 0): boolean {
     const ended = this.endedUnder(asked).length;
-    return ended === 0 || ended + underWay < MOST_ENDED_WORKERS;
+    return ended === 0 || ended + underWay < MAX_CRASHED_WORKERS;
   }
 
   /** Why a request is sent to no worker; `undefined` where it may be sent. */
   refusalOf(asked: FingerprintedRequest): Failure | undefined {
     const ends = this.endedUnder(asked);
-    if (ends.length < MOST_ENDED_WORKERS) return undefined;
-    const firstToLapse = ends[ends.length - MOST_ENDED_WORKERS]?.at ?? 0;
+    if (ends.length < MAX_CRASHED_WORKERS) return undefined;
+    const firstToLapse = ends[ends.length - MAX_CRASHED_WORKERS]?.at ?? 0;
     const retryAfter = firstToLapse + EVIDENCE_LIFETIME - this.options.clock.now();
     return failure('request_quarantined', `${ends.length} workers ended under it`, { retryAfter });
   }
@@ -174,7 +174,7 @@
 
   private announce(request: RequestFingerprint): void {
     const ends = this.evidence.endedUnder(request);
-    if (ends.length < MOST_ENDED_WORKERS || this.announced.has(request)) return;
+    if (ends.length < MAX_CRASHED_WORKERS || this.announced.has(request)) return;
     this.announced.add(request);
     const workers = ends.map(({ worker }) => worker);
     this.options.log.state('request-quarantined', { asked: request, workers: workers.join(', ') });
--- a/src/serving/start-gate.ts
+++ b/src/serving/start-gate.ts
@@ -10,7 +10,7 @@
 import type { Milliseconds } from '../core/units.js';
 
 /** Time for which a request is held at most: the slowest of those starts, and a quarter more. */
-export const LONGEST_START_WAIT: Milliseconds = 1_000;
+export const MAX_START_WAIT: Milliseconds = 1_000;
 
 /** Share of a caller's patience that is spent here at most; the rest is for the work itself. */
 export const START_WAIT_SHARE = 0.4;
@@ -22,11 +22,11 @@
  * Requests held at once: an assumed bound on memory, and on what comes to the workers all together. No
  * load that reaches it was seen.
  */
-export const MOST_HELD = 256;
+export const MAX_HELD_REQUESTS = 256;
 
 /** How long a request is held at most. */
 export function startWaitOf(patience: Milliseconds | undefined): Milliseconds {
-  return Math.min(LONGEST_START_WAIT, START_WAIT_SHARE * (patience ?? DEFAULT_PATIENCE));
+  return Math.min(MAX_START_WAIT, START_WAIT_SHARE * (patience ?? DEFAULT_PATIENCE));
 }
 
 /** Opens once, when the node knows enough to serve. */
@@ -50,7 +50,8 @@
    * left; at once where it can serve already, or too many wait.
    */
   wait(patience: Milliseconds | undefined, gone: AbortSignal): Promise<void> {
-    if (this.isOpen || this.held.size >= MOST_HELD || gone.aborted) return Promise.resolve();
+    if (this.isOpen || this.held.size >= MAX_HELD_REQUESTS || gone.aborted)
+      return Promise.resolve();
     return new Promise((resolve) => {
       const goOn = (): void => {
         clearTimeout(timer);
--- a/test/fleet/coordinator-lock.test.ts
+++ b/test/fleet/coordinator-lock.test.ts
@@ -1,6 +1,6 @@
 import t from 'tap';
 import { SharedStoreEmulator } from '../../lab/emulator/shared-store-emulator.js';
-import { CoordinatorLock, LOCK_VALIDITY } from '../../src/fleet/coordinator-lock.js';
+import { CoordinatorLock, FENCING_TOKEN_VALIDITY } from '../../src/fleet/coordinator-lock.js';
 import { FleetRegistry } from '../../src/fleet/fleet-registry.js';
 import type { JobOwner } from '../../src/jobs/job-records.js';
 import type { PeerOutcome, PeerPort } from '../../src/peers/peer-messages.js';
@@ -197,7 +197,7 @@
   const takenAt = performance.now();
   t.equal(two.lock.fencingToken(), undefined);
   await eventually(() => two.lock.fencingToken() !== undefined);
-  t.ok(performance.now() - takenAt >= LOCK_VALIDITY - 50);
+  t.ok(performance.now() - takenAt >= FENCING_TOKEN_VALIDITY - 50);
   await two.stop();
 });
 
--- a/test/jobs/lethal-items.test.ts
+++ b/test/jobs/lethal-items.test.ts
@@ -10,7 +10,7 @@
 import { SharedStoreEmulator } from '../../lab/emulator/shared-store-emulator.js';
 import type { Milliseconds } from '../../src/core/units.js';
 import type { JobSpecification } from '../../src/jobs/job-records.js';
-import { MOST_ENDED_WORKERS } from '../../src/serving/crash-evidence.js';
+import { MAX_CRASHED_WORKERS } from '../../src/serving/crash-evidence.js';
 import type {
   EngineOutcome,
   EngineRequest,
@@ -89,7 +89,7 @@
       path.endsWith('/0'),
     );
     await sleep(OBSERVED);
-    t.equal(workers.ended.length, MOST_ENDED_WORKERS);
+    t.equal(workers.ended.length, MAX_CRASHED_WORKERS);
     const made = node.service.ownedJobs()[0]?.finishedResults() ?? [];
     t.same(made.map(({ id }) => id).sort(), ['item-1', 'item-2', 'item-3']);
   },
@@ -113,7 +113,7 @@
   }
   const before = workers.ended.length;
   await sleep(OBSERVED);
-  t.ok(before + workers.ended.length <= MOST_ENDED_WORKERS, `${workers.ended.length} ended`);
+  t.ok(before + workers.ended.length <= MAX_CRASHED_WORKERS, `${workers.ended.length} ended`);
 });
 
 t.test('a request for a score that ends its workers is sent to three', async (t) => {
@@ -121,5 +121,5 @@
     path.startsWith('/score/'),
   );
   await sleep(OBSERVED);
-  t.equal(workers.ended.length, MOST_ENDED_WORKERS);
+  t.equal(workers.ended.length, MAX_CRASHED_WORKERS);
 });
--- a/test/serving/request-quarantine.test.ts
+++ b/test/serving/request-quarantine.test.ts
@@ -1,5 +1,5 @@
 import t from 'tap';
-import { EVIDENCE_LIFETIME, MOST_ENDED_WORKERS } from '../../src/serving/crash-evidence.js';
+import { EVIDENCE_LIFETIME, MAX_CRASHED_WORKERS } from '../../src/serving/crash-evidence.js';
 import type { WorkerLiveness } from '../../src/serving/engine-port.js';
 import { FingerprintedRequest } from '../../src/serving/request-fingerprint.js';
 import {
@@ -72,8 +72,8 @@
   const request = asked('/x');
   t.ok(fixture.quarantine.admits(request, 5), 'nothing does');
   await fixture.endUnder(request, ['w1']);
-  t.ok(fixture.quarantine.admits(request, MOST_ENDED_WORKERS - 2));
-  t.notOk(fixture.quarantine.admits(request, MOST_ENDED_WORKERS - 1));
+  t.ok(fixture.quarantine.admits(request, MAX_CRASHED_WORKERS - 2));
+  t.notOk(fixture.quarantine.admits(request, MAX_CRASHED_WORKERS - 1));
 });
 
 t.test('a broken connection counts until its worker has said that it lives', async (t) => {
--- a/test/serving/start-gate.test.ts
+++ b/test/serving/start-gate.test.ts
@@ -8,8 +8,8 @@
  */
 import t from 'tap';
 import {
-  LONGEST_START_WAIT,
-  MOST_HELD,
+  MAX_HELD_REQUESTS,
+  MAX_START_WAIT,
   START_WAIT_SHARE,
   StartGate,
   startWaitOf,
@@ -35,7 +35,7 @@
   async (t) => {
     t.equal(startWaitOf(1_500), START_WAIT_SHARE * 1_500);
     t.equal(startWaitOf(100), 40);
-    t.equal(startWaitOf(60_000), LONGEST_START_WAIT);
+    t.equal(startWaitOf(60_000), MAX_START_WAIT);
     const gate = new StartGate();
     const startedAt = performance.now();
     await gate.wait(100, NEVER_GONE);
@@ -52,9 +52,9 @@
   await left;
   await gate.wait(60_000, gone.signal);
   t.equal(gate.waiting, 0);
-  const held = Array.from({ length: MOST_HELD }, () => gate.wait(60_000, NEVER_GONE));
+  const held = Array.from({ length: MAX_HELD_REQUESTS }, () => gate.wait(60_000, NEVER_GONE));
   await gate.wait(60_000, NEVER_GONE);
-  t.equal(gate.waiting, MOST_HELD);
+  t.equal(gate.waiting, MAX_HELD_REQUESTS);
   gate.open();
   await Promise.all(held);
 });
