--- a/lab/common/no-peers.ts
+++ b/lab/common/no-peers.ts
@@ -3,16 +3,16 @@
 
 /** Answers nothing. */
 export const NO_PEERS: JobPeers = {
-  keptWork: async () => new Map(),
+  cachedWork: async () => new Map(),
   ownerListing: async () => undefined,
-  endAtOwner: async () => false,
-  surrenderedWork: async () => new Map(),
+  cancelAtOwner: async () => false,
+  releaseAtOwner: async () => new Map(),
   likelyOwners: () => [],
   bodyAtOwner: async () => undefined,
   submitElsewhere: async () => ({ kind: 'here', mayRunElsewhere: false }),
   readElsewhere: async () => undefined,
-  endElsewhere: async () => undefined,
-  handOver: async () => {},
-  moveAway: async () => false,
-  needWeights: () => {},
+  cancelElsewhere: async () => undefined,
+  offerReleased: async () => {},
+  transferMisplaced: async () => false,
+  reportWeightNeed: () => {},
 };
--- a/lab/emulator/crashing-workers.ts
+++ b/lab/emulator/crashing-workers.ts
@@ -97,11 +97,11 @@
     return wholeAnswer(`answer to ${body}`);
   }
 
-  async standingOf({ id }: WorkerRecord): Promise<WorkerLiveness> {
+  async probeLiveness({ id }: WorkerRecord): Promise<WorkerLiveness> {
     return this.live.has(id) ? 'lives' : 'ended';
   }
 
-  async coldTimeOf(): Promise<undefined> {
+  async probeColdTime(): Promise<undefined> {
     return undefined;
   }
 
--- a/lab/emulator/cuttable-store.ts
+++ b/lab/emulator/cuttable-store.ts
@@ -27,7 +27,7 @@
     watch: (...watch) => reached(() => store.watch(...watch)),
     commit: (commit) => reached(() => store.commit(commit)),
     grantLease: (ttl) => reached(() => store.grantLease(ttl)),
-    keepLease: (lease) => reached(() => store.keepLease(lease)),
-    endLease: async (lease) => void (await reached(() => store.endLease(lease))),
+    renewLease: (lease) => reached(() => store.renewLease(lease)),
+    revokeLease: async (lease) => void (await reached(() => store.revokeLease(lease))),
   };
 }
--- a/lab/emulator/joined-gateways.ts
+++ b/lab/emulator/joined-gateways.ts
@@ -121,7 +121,7 @@
     this.body += chunk.toString();
   }
   end(): void {}
-  breakOff(): void {}
+  abort(): void {}
   fail(failure: Failure): void {
     this.failure = failure;
   }
@@ -220,7 +220,7 @@
       metrics,
       timings: () => ({ ...TIMINGS, ...this.options.timings }),
       storageDrains: storageDrainPort(this.store),
-      zonesServeAlone: (this.options.replicasOfJob ?? 0) > 0,
+      areZonesAutonomous: (this.options.replicasOfJob ?? 0) > 0,
       journalReplicas: this.options.replicasOfJob ?? 0,
     });
     this.byAddress.set(address, { zone, handler: node.peerHandler });
@@ -274,10 +274,10 @@
       host: HOST,
       headers: [],
       body: Buffer.from(body),
-      patience: PATIENCE,
+      timeout: PATIENCE,
       receivedAt: PROCESS_CLOCK.now(),
       lastEventId: undefined,
-      gone: new AbortController().signal,
+      disconnectSignal: new AbortController().signal,
     };
     const sink = new TrySink();
     await node.forward(request, route, sink);
@@ -299,7 +299,7 @@
   /** All others as a gateway of a zone reaches them. */
   private peersOf(ownAddress: string, from: ZoneName, link: StoreLink): PeerPort {
     return {
-      ask: async <Kind extends PeerRequest['kind']>(
+      request: async <Kind extends PeerRequest['kind']>(
         address: string,
         request: PeerRequest,
         limit: Milliseconds,
--- a/lab/emulator/shared-store-emulator.ts
+++ b/lab/emulator/shared-store-emulator.ts
@@ -186,12 +186,12 @@
     return { kind: 'granted', lease: this.lastLease, ttl };
   }
 
-  async keepLease(lease: LeaseId): Promise<StoreRenewOutcome> {
+  async renewLease(lease: LeaseId): Promise<StoreRenewOutcome> {
     if (!(await this.answers('keep'))) return NOT_DONE;
     return this.leases.has(lease) ? { kind: 'kept' } : { kind: 'gone' };
   }
 
-  async endLease(lease: LeaseId): Promise<void> {
+  async revokeLease(lease: LeaseId): Promise<void> {
     if (await this.answers('end')) this.dropLease(lease);
   }
 
--- a/lab/emulator/store-link.ts
+++ b/lab/emulator/store-link.ts
@@ -23,9 +23,9 @@
     this.pass(() => this.watchUntilCut(prefix, after, wait, signal));
   commit: SharedStore['commit'] = (commit) => this.pass(() => this.store.commit(commit));
   grantLease: SharedStore['grantLease'] = (ttl) => this.pass(() => this.store.grantLease(ttl));
-  keepLease: SharedStore['keepLease'] = (lease) => this.pass(() => this.store.keepLease(lease));
-  endLease: SharedStore['endLease'] = async (lease) => {
-    if (!this.isCut) await this.store.endLease(lease);
+  renewLease: SharedStore['renewLease'] = (lease) => this.pass(() => this.store.renewLease(lease));
+  revokeLease: SharedStore['revokeLease'] = async (lease) => {
+    if (!this.isCut) await this.store.revokeLease(lease);
   };
 
   /** Turns the node away from now on, also what waits. */
--- a/lab/proofs/durable-jobs/job-world.ts
+++ b/lab/proofs/durable-jobs/job-world.ts
@@ -174,13 +174,13 @@
     const read = await store.head(jobName(job));
     if (read.kind !== 'found' || read.value.head.ended) return;
     if (read.value.head.listed >= read.value.head.total) return;
-    void this.node(node).service.adopt(jobName(job), read.value);
+    void this.node(node).service.takeOver(jobName(job), read.value);
   }
 
   /** A trainer ends a job at a node. */
   end(node: number, job: number): void {
     if (this.frozen.has(node)) return;
-    void this.node(node).service.end(jobName(job), UNRESTRICTED, () => false);
+    void this.node(node).service.cancel(jobName(job), UNRESTRICTED, () => false);
   }
 
   /** A trainer reads a job at a node; judged only while the store answers. */
@@ -286,12 +286,12 @@
       versionField: 'version',
       registry,
       quarantine: new RequestQuarantine({
-        standingOf: () => this.scoreDesk.standingOf(),
-        report: () => {},
+        probeLiveness: () => this.scoreDesk.probeLiveness(),
+        reportCrash: () => {},
         reportAcquittal: () => {},
         ...{ clock, log, metrics },
       }),
-      isStoreSilent: () => false,
+      isStoreUnreachable: () => false,
       zone: 'zone',
       clock,
       log,
--- a/lab/proofs/durable-jobs/score-desk.ts
+++ b/lab/proofs/durable-jobs/score-desk.ts
@@ -52,11 +52,11 @@
     return answered(200, signature);
   }
 
-  async standingOf(): Promise<'lives'> {
+  async probeLiveness(): Promise<'lives'> {
     return 'lives';
   }
 
-  async coldTimeOf(): Promise<undefined> {
+  async probeColdTime(): Promise<undefined> {
     return undefined;
   }
 
--- a/lab/proofs/durable-jobs/store-trials.ts
+++ b/lab/proofs/durable-jobs/store-trials.ts
@@ -57,7 +57,7 @@
     watch: (prefix, after, wait, signal) => store.watch(prefix, after, wait, signal),
     commit,
     grantLease: (ttl) => store.grantLease(ttl),
-    keepLease: (lease) => store.keepLease(lease),
-    endLease: (lease) => store.endLease(lease),
+    renewLease: (lease) => store.renewLease(lease),
+    revokeLease: (lease) => store.revokeLease(lease),
   };
 }
--- a/lab/soak/platform-store.ts
+++ b/lab/soak/platform-store.ts
@@ -151,7 +151,7 @@
   }
 
   private async keep(lease: number): Promise<Reply> {
-    const outcome = await this.emulator.keepLease(lease);
+    const outcome = await this.emulator.renewLease(lease);
     if (outcome.kind === 'failed') return UNAVAILABLE;
     const known = this.leases.get(lease);
     if (outcome.kind === 'gone' || known === undefined) return { status: 404, body: {} };
@@ -160,7 +160,7 @@
   }
 
   private async end(lease: number): Promise<Reply> {
-    await this.emulator.endLease(lease);
+    await this.emulator.revokeLease(lease);
     return { status: 200, body: {} };
   }
 
--- a/src/fleet/cold-workers.ts
+++ b/src/fleet/cold-workers.ts
@@ -87,14 +87,14 @@
     this.warmth = new WorkerWarmth(clock);
     const coldStartOf = (name: string): ColdStart | undefined => this.coldStartOf(name);
     const shared = { clock, metrics, warmth: this.warmth, coldStartOf };
-    this.rule = new ColdWorkerRule({ ...shared, wanted: () => this.askSoon() });
+    this.rule = new ColdWorkerRule({ ...shared, onPermitsNeeded: () => this.askSoon() });
     this.granter = new PermitGranter({
       ...shared,
       tolerance,
       fencingToken,
       tokenValidity: FENCING_TOKEN_VALIDITY,
       workerOf: (id) => registry().get(id)?.record,
-      look: (worker) => this.lookSoon(worker),
+      probe: (worker) => this.lookSoon(worker),
     });
   }
 
@@ -112,7 +112,7 @@
   /** A zone is sent work again; its workers may have turned cold meanwhile. */
   noteReturned(zone: ZoneName): void {
     const workers = this.coldStarters().filter((worker) => worker.zone === zone);
-    for (const worker of workers) this.warmth.doubt(worker);
+    for (const worker of workers) this.warmth.markUnconfirmed(worker);
     if (workers.length === 0) return;
     this.options.log.state('workers-doubted', { workerZone: zone, workers: workers.length });
   }
@@ -191,7 +191,7 @@
     const pause = Math.max(0, this.nextAskAt - this.options.clock.now());
     this.askTimer = setTimeout(() => {
       this.askTimer = undefined;
-      void this.ask(this.rule.takeWishes());
+      void this.ask(this.rule.takeRequests());
     }, pause);
     this.askTimer.unref();
   }
@@ -232,11 +232,11 @@
     const answer = await this.answerOfGranter(wishes);
     this.isAsking = false;
     // What was wished for meanwhile found no timer to wait for.
-    if (this.rule.hasWishes) this.askSoon();
+    if (this.rule.hasRequests) this.askSoon();
     if (answer?.term === undefined) this.lookWithoutGranter(wishes);
     if (answer === undefined) return;
     this.isInformed ||= answer.term !== undefined;
-    const isAnyFree = this.rule.takeAnswer(answer, sentAt, (id) => registry().get(id)?.record);
+    const isAnyFree = this.rule.applyAnswer(answer, sentAt, (id) => registry().get(id)?.record);
     if (isAnyFree) freed();
   }
 
@@ -277,7 +277,7 @@
     const found = coldFor === undefined ? 'unknown' : coldFor > 0 ? 'cold' : 'warm';
     metrics.count('warmth_looks', { found });
     if (coldFor === undefined) return;
-    this.warmth.noteTold(worker, coldFor, askedAt);
+    this.warmth.noteReported(worker, coldFor, askedAt);
     if (coldFor === 0) this.options.freed();
     log.state('worker-warmth-told', { worker: worker.id, workerZone: worker.zone, coldFor });
   }
--- a/src/fleet/coordination.ts
+++ b/src/fleet/coordination.ts
@@ -40,7 +40,7 @@
   /** Whether nothing that must last lies on a storage machine alone. */
   readonly isStorageEmpty: (node: NodeId) => Promise<boolean>;
   /** Finds jobs that nobody runs. */
-  readonly sweep: () => void;
+  readonly takeOverUnownedJobs: () => void;
   /** Removes what need not be kept any longer. */
   readonly removeExpired: () => void;
 }
@@ -48,7 +48,7 @@
 /** One node's part in coordinating the fleet. */
 export class Coordination {
   readonly lock: CoordinatorLock;
-  readonly duties: SingletonTasks | undefined;
+  readonly singletonTasks: SingletonTasks | undefined;
   private readonly rollout: WeightRollout;
   private readonly drains: StorageDrains;
   private readonly named = new Map<ModelName, NamedVersion>();
@@ -70,21 +70,21 @@
       ...shared,
       lock,
       holder: node.node,
-      named: this.named,
-      noteChange: (change) => options.peers.tellWeightChange(change),
+      namedVersions: this.named,
+      noteChange: (change) => options.peers.broadcastWeightChange(change),
       isConfigured: (service) => configuration.services.some(({ name }) => name === service),
-      isAway: ({ record }) => options.isEvacuated(record.zone),
+      isEvacuated: ({ record }) => options.isEvacuated(record.zone),
       localityOf: options.localities?.of,
-      mode: () => (configuration.needsWholeVersions ? 'wait' : 'keep'),
+      mode: () => (configuration.requiresSingleVersion ? 'wait' : 'keep'),
     });
     this.drains = new StorageDrains({ port, lock, log, isEmpty: options.isStorageEmpty });
-    if (node.duties === undefined) return;
-    this.duties = new SingletonTasks({
+    if (node.singletonTasks === undefined) return;
+    this.singletonTasks = new SingletonTasks({
       ...shared,
-      ...{ clock, lock, duties: node.duties },
+      ...{ clock, lock, settings: node.singletonTasks },
       services: () => configuration.services,
       liveNodes: () => fleet.liveNodes().length,
-      tell: (...usage) => options.peers.tellUsage(...usage),
+      tell: (...usage) => options.peers.reportUsage(...usage),
       isFirstStart: node.isFirstStart ?? false,
     });
   }
@@ -101,7 +101,7 @@
 
   /** Begins to tell the holder of the duties what is counted here. */
   start(): void {
-    this.duties?.start();
+    this.singletonTasks?.start();
   }
 
   /** Regular work. */
@@ -109,12 +109,12 @@
     this.lock.tick();
     this.rollout.tick();
     this.drains.tick();
-    this.duties?.tick();
+    this.singletonTasks?.tick();
     this.lookAfterJobs();
   }
 
   /** A trainer named a version. */
-  nameVersion(model: ModelName, version: WeightVersion): void {
+  noteNamedVersion(model: ModelName, version: WeightVersion): void {
     if (version <= (this.named.get(model)?.version ?? 0)) return;
     const { clock, log } = this.options.node;
     this.named.set(model, { version, namedAt: clock.now() });
@@ -124,7 +124,7 @@
 
   /** A job needs weights of at least some version. */
   requireWeights(need: WeightNeed): void {
-    this.rollout.require(need);
+    this.rollout.requireWeights(need);
   }
 
   /** The operator asks for a storage node to be emptied. */
@@ -134,11 +134,11 @@
 
   /** After the last request has ended: nothing that was counted is lost. */
   async finish(): Promise<void> {
-    await this.duties?.finish();
+    await this.singletonTasks?.finish();
   }
 
   private lookAfterJobs(): void {
-    const { node, sweep, removeExpired } = this.options;
+    const { node, takeOverUnownedJobs: sweep, removeExpired } = this.options;
     const now = node.clock.now();
     if (!this.isActive) return;
     if (now >= this.nextSweepAt) {
--- a/src/fleet/coordinator-lock.ts
+++ b/src/fleet/coordinator-lock.ts
@@ -142,7 +142,7 @@
    * Takes the lock from a holder that is suspected, without waiting for its lease: one that resigns
    * or whose process is gone gives no more orders. One that is silent may still give some.
    */
-  async takeFrom(holder: JobOwner): Promise<void> {
+  async takeOverFrom(holder: JobOwner): Promise<void> {
     const { holding } = this;
     if (holding === undefined || holding.nonce === this.ownNonce) return;
     if (holding.node !== holder.node || holding.address !== holder.address) return;
@@ -169,9 +169,9 @@
     const turn = this.isGivenUp ? 0 : this.turn();
     if (clock.now() - this.freeSince < turn * RANK_DELAY) return;
     // The lock hangs on a lease that lapses soon after its holder fell silent.
-    fleet.takeDuties();
-    if (!fleet.hasPromptLease || fleet.renewalAge() >= FENCING_TOKEN_VALIDITY) {
-      fleet.renewSoon();
+    fleet.requireShortLease();
+    if (!fleet.hasShortLease || fleet.renewalAge() >= FENCING_TOKEN_VALIDITY) {
+      fleet.renewLeaseSoon();
       return;
     }
     this.isTrying = true;
@@ -253,7 +253,7 @@
 
   private askToResign(address: string): Promise<PeerOutcome<'resign-coordinator'>> {
     const request = { kind: 'resign-coordinator' } as const;
-    return this.options.peers.ask<'resign-coordinator'>(address, request, RESIGN_LIMIT);
+    return this.options.peers.request<'resign-coordinator'>(address, request, RESIGN_LIMIT);
   }
 
   /**
--- a/src/fleet/crash-reports.ts
+++ b/src/fleet/crash-reports.ts
@@ -59,11 +59,11 @@
   readonly self: NodeId;
   readonly liveNodes: () => readonly NodeId[];
   /** Tells one node directly; resolves with whether it knows now. */
-  readonly tell: (node: NodeId, report: CrashReport) => Promise<boolean>;
+  readonly notifyNode: (node: NodeId, report: CrashReport) => Promise<boolean>;
   /** Another node's report, and the steady time of what it tells. */
-  readonly taken: (report: CrashReport, at: Milliseconds) => void;
+  readonly onReport: (report: CrashReport, at: Milliseconds) => void;
   /** What was taken back of a report. */
-  readonly withdrawn: (report: CrashReport) => void;
+  readonly onWithdrawal: (report: CrashReport) => void;
   readonly clock: Clock;
   readonly log: Pick<DecisionLog, 'state'>;
   readonly metrics: FleetMetrics;
@@ -85,11 +85,11 @@
   constructor(private readonly options: CrashReportsOptions) {}
 
   /** Writes what is left, as far as the store takes it soon, and nothing more. */
-  async finish(): Promise<void> {
-    this.retrySoon();
+  async flush(): Promise<void> {
+    this.retryNow();
     await Promise.race([this.saving, this.options.clock.sleep(FINISH_LIMIT)]);
     this.isStopped = true;
-    this.retrySoon();
+    this.retryNow();
   }
 
   /** Tells all nodes. */
@@ -104,7 +104,7 @@
   }
 
   /** Tells a node that has just joined what the store does not hold yet: no list can show it. */
-  inform(node: NodeId): void {
+  sendUnsavedTo(node: NodeId): void {
     if (node === this.options.self) return;
     for (const [key, { requests }] of this.unsaved) {
       void this.tell(node, { worker: workerOf(key), requests });
@@ -112,18 +112,18 @@
   }
 
   /** The store answers again: what waits is written now. */
-  retrySoon(): void {
+  retryNow(): void {
     this.retries.next();
   }
 
   /** A worker answered a request: records must not speak against it at other nodes. */
-  acquit(request: RequestFingerprint): void {
+  withdraw(request: RequestFingerprint): void {
     this.acquitted.add(request);
     this.save();
   }
 
   /** Takes in a change under the prefix of the fleet. */
-  take({ key, value, revision }: StoreChange): void {
+  applyChange({ key, value, revision }: StoreChange): void {
     if (!key.startsWith(CRASH_PREFIX)) return;
     const before = this.stored.get(key);
     if (before !== undefined && revision < before.revision) return;
@@ -136,9 +136,9 @@
     const worker = workerOf(key);
     const named = new Set(record?.requests ?? []);
     const gone = before?.requests.filter((request) => !named.has(request)) ?? [];
-    if (gone.length > 0) this.options.withdrawn({ worker, requests: gone });
+    if (gone.length > 0) this.options.onWithdrawal({ worker, requests: gone });
     if (record === undefined) return;
-    const { clock, taken } = this.options;
+    const { clock, onReport: taken } = this.options;
     const age = Math.max(0, clock.wallTime() - record.at);
     if (age < EVIDENCE_LIFETIME) taken({ worker, requests: record.requests }, clock.now() - age);
   }
@@ -153,7 +153,7 @@
   }
 
   private async tell(node: NodeId, report: CrashReport): Promise<void> {
-    const { tell, metrics } = this.options;
+    const { notifyNode: tell, metrics } = this.options;
     let isTold = false;
     for (let attempt = 0; attempt < TELL_ATTEMPTS && !isTold; attempt += 1) {
       isTold = await tell(node, report);
@@ -227,10 +227,10 @@
     if (outcome.kind !== 'committed') return false;
     for (const { key, value } of commit.put ?? []) {
       if (this.unsaved.get(key) === sent.get(key)) this.unsaved.delete(key);
-      this.take({ key, value, revision: outcome.revision });
+      this.applyChange({ key, value, revision: outcome.revision });
     }
     for (const key of commit.remove ?? []) {
-      this.take({ key, value: undefined, revision: outcome.revision });
+      this.applyChange({ key, value: undefined, revision: outcome.revision });
     }
     return true;
   }
--- a/src/fleet/direct-prefixes.ts
+++ b/src/fleet/direct-prefixes.ts
@@ -87,7 +87,7 @@
         lastOutcomeAt: suspendAwareTime(clock),
       });
     } else {
-      known.mirror.takeList(outcome);
+      known.mirror.applyList(outcome);
       known.lastOutcomeAt = suspendAwareTime(clock);
     }
     this.grown.next(prefix);
@@ -111,7 +111,7 @@
     watch.isWaiting = false;
     if (outcome.kind === 'changes') {
       watch.lastOutcomeAt = suspendAwareTime(clock);
-      watch.mirror.takeChanges(after, outcome.changes, outcome.revision);
+      watch.mirror.applyChanges(after, outcome.changes, outcome.revision);
     } else if (!signal.aborted) {
       // What comes until the next list is not known here: followers must not wait for it.
       this.watches.delete(prefix);
--- a/src/fleet/fleet-peers.ts
+++ b/src/fleet/fleet-peers.ts
@@ -71,11 +71,11 @@
   readonly metrics: FleetMetrics;
   readonly lock: () => CoordinatorLock;
   /** Called on the coordinator: what a job needs. */
-  readonly weightsNeeded: (need: WeightNeed) => void;
+  readonly onWeightsNeeded: (need: WeightNeed) => void;
   /** A worker changes weights, or has. */
-  readonly weightChanged: (change: WeightChange) => void;
+  readonly onWeightChanged: (change: WeightChange) => void;
   /** Whether this zone takes jobs in while the store is out of reach. */
-  readonly takesJobsAlone: () => boolean;
+  readonly acceptsJobsWithoutStore: () => boolean;
   /** Which nodes may hold a job. @default all */
   readonly residency?: JobResidency | undefined;
 }
@@ -92,11 +92,11 @@
     this.submissions = new SubmissionRouter({ ...options, calls: this.calls });
   }
 
-  async keptWork(items: readonly string[]): Promise<ReadonlyMap<string, DigestedWork>> {
+  async cachedWork(items: readonly string[]): Promise<ReadonlyMap<string, DigestedWork>> {
     const nodes = this.options.placement.owners().filter((node) => node !== this.options.self.node);
     const request = { kind: 'kept-work', items, zone: this.options.zone } as const;
     const outcomes = await Promise.all(
-      nodes.map((node) => this.calls.ask<'kept-work'>(node, request, KEPT_WORK_LIMIT)),
+      nodes.map((node) => this.calls.request<'kept-work'>(node, request, KEPT_WORK_LIMIT)),
     );
     const work = new Map<string, DigestedWork>();
     for (const outcome of outcomes) {
@@ -116,15 +116,19 @@
   ): Promise<OwnerListing | undefined> {
     if (!this.options.fleet.isLive(owner)) return undefined;
     const request = { kind: 'job-results', job, after, wait } as const;
-    const outcome = await this.calls.ask<'job-results'>(owner.node, request, wait + RESULTS_LIMIT);
-    if (outcome?.kind === 'refused') this.options.placement.noteSilent(owner.node);
+    const outcome = await this.calls.request<'job-results'>(
+      owner.node,
+      request,
+      wait + RESULTS_LIMIT,
+    );
+    if (outcome?.kind === 'refused') this.options.placement.noteUnresponsive(owner.node);
     if (outcome?.kind !== 'answered' || !outcome.answer.isOwner) return undefined;
     return outcome.answer;
   }
 
-  async endAtOwner(owner: JobOwner, job: string, caller: CallerIdentity): Promise<boolean> {
+  async cancelAtOwner(owner: JobOwner, job: string, caller: CallerIdentity): Promise<boolean> {
     if (!this.options.fleet.isLive(owner)) return false;
-    const outcome = await this.calls.ask<'end-job'>(
+    const outcome = await this.calls.request<'end-job'>(
       owner.node,
       { kind: 'end-job', job, caller },
       END_LIMIT,
@@ -132,9 +136,9 @@
     return outcome?.kind === 'answered' && outcome.answer.isEnded;
   }
 
-  async surrenderedWork(owner: JobOwner, job: string): Promise<ReadonlyMap<string, DigestedWork>> {
+  async releaseAtOwner(owner: JobOwner, job: string): Promise<ReadonlyMap<string, DigestedWork>> {
     const request = { kind: 'surrender-job', job, zone: this.options.zone } as const;
-    const outcome = await this.calls.askAt<'surrender-job'>(
+    const outcome = await this.calls.requestAt<'surrender-job'>(
       owner.address,
       request,
       SURRENDER_LIMIT,
@@ -149,9 +153,9 @@
   /** Lives of the other nodes that are to run a job, in their order. */
   private otherOwners(job: string, allowed?: AllowedRegions): JobOwner[] {
     const { fleet, placement, self } = this.options;
-    const inOrder = placement.ownersOf(job, undefined, this.residency.holders(allowed));
+    const inOrder = placement.ownersOf(job, undefined, this.residency.holderFilter(allowed));
     const others = inOrder.filter((node) => node !== self.node);
-    return others.map((node) => fleet.ownerOf(node)).filter((owner) => owner !== undefined);
+    return others.map((node) => fleet.incarnationOf(node)).filter((owner) => owner !== undefined);
   }
 
   /**
@@ -166,7 +170,7 @@
     const owners = this.likelyOwners(job);
     const request = { kind: 'item-body', job, item } as const;
     for (const owner of this.options.placement.isByZone ? owners : owners.slice(0, 1)) {
-      const outcome = await this.calls.ask<'item-body'>(owner.node, request, RESULTS_LIMIT);
+      const outcome = await this.calls.request<'item-body'>(owner.node, request, RESULTS_LIMIT);
       if (outcome?.kind === 'answered' && outcome.answer.isOwner) return outcome.answer;
     }
     return undefined;
@@ -182,14 +186,14 @@
     wait: Milliseconds,
     caller: CallerIdentity,
   ): Promise<ResultSlice | Failure | undefined> {
-    const node = await this.calls.nodeThatReachesStore();
+    const node = await this.calls.findNodeReachingStore();
     if (node === undefined) return undefined;
     const request = { kind: 'read-for', job, after, wait, caller } as const;
     const read = await this.readAt(node, request);
     if (!isOutsideRegions(read)) return read;
     const { fleet } = this.options;
     const zone = fleet.zoneOf(node);
-    const inside = await this.calls.nodeThatReachesStore(
+    const inside = await this.calls.findNodeReachingStore(
       'anywhere',
       (other) => !this.residency.areInOneRegion(fleet.zoneOf(other), zone),
     );
@@ -201,37 +205,40 @@
     request: PeerRequestOf<'read-for'>,
   ): Promise<ResultSlice | Failure | undefined> {
     const limit = request.wait + RESULTS_LIMIT + ANSWER_TIME;
-    const outcome = await this.calls.ask<'read-for'>(node, request, limit);
+    const outcome = await this.calls.request<'read-for'>(node, request, limit);
     return outcome?.kind === 'answered' ? outcome.answer.read : undefined;
   }
 
-  async endElsewhere(job: string, caller: CallerIdentity): Promise<ForwardedOutcome | undefined> {
-    const node = await this.calls.nodeThatReachesStore();
+  async cancelElsewhere(
+    job: string,
+    caller: CallerIdentity,
+  ): Promise<ForwardedOutcome | undefined> {
+    const node = await this.calls.findNodeReachingStore();
     if (node === undefined) return undefined;
     const request = { kind: 'end-for', job, caller } as const;
-    const outcome = await this.calls.ask<'end-for'>(node, request, END_LIMIT + ANSWER_TIME);
+    const outcome = await this.calls.request<'end-for'>(node, request, END_LIMIT + ANSWER_TIME);
     return outcome?.kind === 'answered' ? outcome.answer : undefined;
   }
 
-  async handOver(job: string, allowed?: AllowedRegions): Promise<void> {
+  async offerReleased(job: string, allowed?: AllowedRegions): Promise<void> {
     const nodes = this.otherOwners(job, allowed).slice(0, HAND_OVER_OFFERS);
     for (const node of nodes) {
       const request = { kind: 'take-job', job } as const;
-      const outcome = await this.calls.ask<'take-job'>(node.node, request, HAND_OVER_LIMIT);
+      const outcome = await this.calls.request<'take-job'>(node.node, request, HAND_OVER_LIMIT);
       if (outcome?.kind === 'answered' && outcome.answer.isTaken) return;
     }
   }
 
-  async moveAway(job: string, owner: JobOwner, allowed: AllowedRegions): Promise<boolean> {
+  async transferMisplaced(job: string, owner: JobOwner, allowed: AllowedRegions): Promise<boolean> {
     const nodes = this.otherOwners(job, allowed).slice(0, HAND_OVER_OFFERS);
     for (const { node } of nodes) {
-      if (await this.adoptElsewhere(node, job, owner, true)) return true;
+      if (await this.requestTakeover(node, job, owner, true)) return true;
     }
     return false;
   }
 
   /** Has the node that is to run a job take it over; tells whether it did. */
-  async adoptElsewhere(
+  async requestTakeover(
     node: NodeId,
     job: string,
     owner: JobOwner | null,
@@ -239,55 +246,58 @@
   ): Promise<boolean> {
     if (owner === null) {
       const released = { kind: 'take-job', job } as const;
-      const taken = await this.calls.ask<'take-job'>(node, released, HAND_OVER_LIMIT);
+      const taken = await this.calls.request<'take-job'>(node, released, HAND_OVER_LIMIT);
       return taken?.kind === 'answered' && taken.answer.isTaken;
     }
     const request = { kind: 'adopt-job', job, owner, ownerAnswers } as const;
-    const outcome = await this.calls.ask<'adopt-job'>(node, request, ADOPT_LIMIT);
+    const outcome = await this.calls.request<'adopt-job'>(node, request, ADOPT_LIMIT);
     return outcome?.kind === 'answered' && outcome.answer.isTaken;
   }
 
-  needWeights(needed: WeightNeed): void {
+  reportWeightNeed(needed: WeightNeed): void {
     const { placement, zone } = this.options;
-    const need = placement.isLocal ? { ...needed, zone } : needed;
+    const need = placement.isByLocality ? { ...needed, zone } : needed;
     const holder = this.options.lock().holder;
     if (holder === undefined) return;
     if (holder === this.options.self.node) {
-      this.options.weightsNeeded(need);
+      this.options.onWeightsNeeded(need);
       return;
     }
-    void this.calls.ask<'need-weights'>(holder, { kind: 'need-weights', need }, NEED_LIMIT);
+    void this.calls.request<'need-weights'>(holder, { kind: 'need-weights', need }, NEED_LIMIT);
   }
 
   /** Tells the nodes that run the zones' or regions' jobs that a worker changes weights. */
-  tellWeightChange(change: WeightChange): void {
-    const { placement, self, weightChanged } = this.options;
-    if (!placement.isLocal) return;
+  broadcastWeightChange(change: WeightChange): void {
+    const { placement, self, onWeightChanged: weightChanged } = this.options;
+    if (!placement.isByLocality) return;
     weightChanged(change);
     const request = { kind: 'weights-change', change } as const;
     for (const node of placement.owners()) {
-      if (node !== self.node) void this.calls.ask<'weights-change'>(node, request, NEED_LIMIT);
+      if (node !== self.node) void this.calls.request<'weights-change'>(node, request, NEED_LIMIT);
     }
   }
 
   /** Tells the holder of the duties what workers began to run for this node. */
-  async tellUsage(holder: NodeId, source: UsageSource, counts: WindowCounts): Promise<boolean> {
+  async reportUsage(holder: NodeId, source: UsageSource, counts: WindowCounts): Promise<boolean> {
     const request = { kind: 'usage-counts', source, counts } as const;
-    const outcome = await this.calls.ask<'usage-counts'>(holder, request, USAGE_LIMIT);
+    const outcome = await this.calls.request<'usage-counts'>(holder, request, USAGE_LIMIT);
     return outcome?.kind === 'answered' && outcome.answer.isNoted;
   }
 
   /** Asks the node that grants permits for cold workers; `undefined` where no answer came in time. */
-  async permits(node: NodeId, wishes: readonly PermitRequest[]): Promise<PermitAnswer | undefined> {
+  async requestPermits(
+    node: NodeId,
+    wishes: readonly PermitRequest[],
+  ): Promise<PermitAnswer | undefined> {
     const request = { kind: 'cold-permits', wishes } as const;
-    const outcome = await this.calls.ask<'cold-permits'>(node, request, PERMIT_VALIDITY);
+    const outcome = await this.calls.request<'cold-permits'>(node, request, PERMIT_VALIDITY);
     return outcome?.kind === 'answered' ? outcome.answer : undefined;
   }
 
   /** Tells a node what was at a worker that ended; resolves with whether it knows now. */
-  async tellWorkerEnded(node: NodeId, report: CrashReport): Promise<boolean> {
+  async reportWorkerCrash(node: NodeId, report: CrashReport): Promise<boolean> {
     const request = { kind: 'worker-ended', report } as const;
-    const outcome = await this.calls.ask<'worker-ended'>(node, request, CRASH_REPORT_LIMIT);
+    const outcome = await this.calls.request<'worker-ended'>(node, request, CRASH_REPORT_LIMIT);
     return outcome?.kind === 'answered' && outcome.answer.isNoted;
   }
 }
--- a/src/fleet/fleet-registry.ts
+++ b/src/fleet/fleet-registry.ts
@@ -78,13 +78,13 @@
 /** Knows which lives of nodes are live, and keeps this node's own record. */
 export class FleetRegistry {
   /** Fires after a node left or was replaced by a new life. */
-  readonly departures = new Subject<NodeTermination>();
+  readonly terminations = new Subject<NodeTermination>();
   /** Fires after a node joined or began a new life. */
   readonly arrivals = new Subject<NodeId>();
   /** Changes under the fleet's prefix that are not about nodes. */
   readonly otherChanges = new Subject<StoreChange>();
   /** Fires when the store answers again after a renewal went unanswered. */
-  readonly storeRegained = new Subject<void>();
+  readonly storeReconnected = new Subject<void>();
   /** Fires once the fleet was listed whole. */
   readonly listed = new Subject<void>();
   private readonly live = new Map<NodeId, NodeRecord>();
@@ -133,24 +133,24 @@
   }
 
   /** Whether this node is one that others would miss at once. */
-  get hasDuties(): boolean {
+  get requiresShortLease(): boolean {
     return this.areDutiesTaken;
   }
 
   /** Whether the lease lapses soon after this node fell silent. */
-  get hasPromptLease(): boolean {
+  get hasShortLease(): boolean {
     return this.lease !== NO_LEASE && this.ttl <= PROMPT_PACE.ttl;
   }
 
   /** This node runs jobs, relays the store or gives orders from now on, and for as long as it lives. */
-  takeDuties(): void {
+  requireShortLease(): void {
     if (this.areDutiesTaken) return;
     this.areDutiesTaken = true;
-    this.renewSoon();
+    this.renewLeaseSoon();
   }
 
   /** Renews the lease now unless that was just done: something hints that the store is out of reach. */
-  renewSoon(): void {
+  renewLeaseSoon(): void {
     const age = this.options.clock.now() - this.triedAt;
     if (this.isStopped || this.isRenewing) return;
     if (age < LEAST_RENEWAL_PAUSE && this.isPaceRight) return;
@@ -162,7 +162,7 @@
   noteSuspended(): void {
     this.watcher.restart();
     this.triedAt = Number.NEGATIVE_INFINITY;
-    this.renewSoon();
+    this.renewLeaseSoon();
   }
 
   /** Removes this node's record, so that others need not wait for its lease to run out. */
@@ -170,7 +170,7 @@
     this.isStopped = true;
     clearTimeout(this.timer);
     this.watcher.stop();
-    if (this.lease !== NO_LEASE) await this.options.store.endLease(this.lease);
+    if (this.lease !== NO_LEASE) await this.options.store.revokeLease(this.lease);
   }
 
   /** Whether this life of a node is live, as far as this node knows. */
@@ -184,14 +184,14 @@
   }
 
   /** The live life of a node. */
-  ownerOf(node: NodeId): JobOwner | undefined {
+  incarnationOf(node: NodeId): JobOwner | undefined {
     const record = this.live.get(node);
     if (record === undefined) return undefined;
     return { node, incarnation: record.incarnation, address: record.address };
   }
 
   /** The live lives of all nodes. */
-  liveOwners(): JobOwner[] {
+  liveIncarnations(): JobOwner[] {
     const lives = [...this.live];
     return lives.map(([node, { incarnation, address }]) => ({ node, incarnation, address }));
   }
@@ -217,12 +217,12 @@
   }
 
   /** Whether the store was silent, as the renewals show, within the last time. */
-  wasSilentWithin(duration: Milliseconds): boolean {
+  wasStoreUnreachableWithin(duration: Milliseconds): boolean {
     return this.isStoreSilent || this.options.clock.now() - this.regainedAt < duration;
   }
 
   /** Whether the store has not answered this node for a while, whomever else it answers. */
-  get isCutOff(): boolean {
+  get isStoreUnreachable(): boolean {
     return this.isStoreSilent && this.options.clock.now() - this.silentSince > CUT_OFF_AGE;
   }
 
@@ -262,7 +262,7 @@
     const told = record === undefined ? {} : { format: record.format };
     this.options.log.state('fleet-node', { peer: node, state, ...told, live: this.live.size });
     const cause = record === undefined ? 'lease-over' : 'replaced';
-    if (before !== undefined) this.departures.next({ node, zone: before.zone, cause });
+    if (before !== undefined) this.terminations.next({ node, zone: before.zone, cause });
     if (record !== undefined) this.arrivals.next(node);
   }
 
@@ -307,7 +307,7 @@
     if (!answers) return;
     this.regainedAt = this.options.clock.now();
     this.watcher.restart();
-    this.storeRegained.next();
+    this.storeReconnected.next();
   }
 
   private async register(): Promise<boolean> {
@@ -328,7 +328,7 @@
   }
 
   private async keep(): Promise<boolean> {
-    const outcome = await this.options.store.keepLease(this.lease);
+    const outcome = await this.options.store.renewLease(this.lease);
     if (outcome.kind === 'kept') return true;
     if (outcome.kind === 'gone') {
       this.options.log.state('lease-lost', { lease: this.lease });
--- a/src/fleet/gateway-node.ts
+++ b/src/fleet/gateway-node.ts
@@ -102,7 +102,7 @@
   constructor(private readonly options: GatewayNodeOptions) {
     const { clock, log, metrics, peers: port, zone } = options;
     const self = { node: options.node, incarnation: randomUUID(), address: options.peerAddress };
-    const { node, zonesServeAlone: servesAlone = false } = options;
+    const { node, areZonesAutonomous: servesAlone = false } = options;
     const topology = new ZoneTopology(zone, options.zoneRegions ?? new Map());
     const localities = localitiesOf(topology, servesAlone);
     const distanceBetween: DistanceBetween = (...zones) => topology.distanceBetween(...zones);
@@ -112,14 +112,14 @@
       healthPathOf: (worker) => this.healthPathOf(worker),
       contactAge: () => this.relay.contactAge(options.feeds.operatorPrefix),
       hasPeers: () => this.fleet.liveNodes().some((name) => name !== node),
-      isCutOff: () => this.fleet.isCutOff,
+      isCutOff: () => this.fleet.isStoreUnreachable,
       coordinator: () => this.coordination.holder,
       fencingToken: () => this.coordination.lock.fencingToken(),
-      askForPermits: (...question) => peers.permits(...question),
+      askForPermits: (...question) => peers.requestPermits(...question),
       freed: () => this.dispatcher.schedule(),
     });
     this.registry = this.gate.registry;
-    const direct = meteredStore(options.store, metrics, clock, () => this.fleet.renewSoon());
+    const direct = meteredStore(options.store, metrics, clock, () => this.fleet.renewLeaseSoon());
     const boundPrefixes = [options.feeds.operatorPrefix, options.feeds.workerPrefix];
     const relay = new WatchRelay({
       store: direct,
@@ -159,7 +159,7 @@
     this.roster = new WorkerRoster({ ...shared, fleet: this.fleet });
     const autonomy = new ZoneAutonomy({
       ...{ self, zone, fleet: this.fleet, port, clock, metrics },
-      isOn: servesAlone,
+      isEnabled: servesAlone,
       groupSize: options.journalReplicas ?? 0,
     });
     this.autonomy = autonomy;
@@ -168,9 +168,10 @@
       ...{ port, self, zone, distanceBetween, clock, metrics },
       ...{ fleet: this.fleet, placement: this.placement },
       lock: () => this.coordination.lock,
-      weightsNeeded: (need: WeightNeed) => this.coordination.requireWeights(need),
-      weightChanged: (change: WeightChange) => noteWeightChange(this.registry, change, clock.now()),
-      takesJobsAlone: () => autonomy.takesJobsAlone,
+      onWeightsNeeded: (need: WeightNeed) => this.coordination.requireWeights(need),
+      onWeightChanged: (change: WeightChange) =>
+        noteWeightChange(this.registry, change, clock.now()),
+      acceptsJobsWithoutStore: () => autonomy.acceptsJobsWithoutStore,
       residency,
     };
     const peers = new FleetPeers(asked);
@@ -178,37 +179,37 @@
       ...asked,
       jobs: () => this.jobs,
       relay: () => relay,
-      workerEnded: (report) => this.quarantine.take(report, clock.now()),
+      onWorkerCrashed: (report) => this.quarantine.applyReport(report, clock.now()),
       permits: (wishes) => this.gate.answerWishes(wishes),
-      usageTold: (source, counts) => this.coordination.duties?.take(source, counts),
+      onUsageReported: (source, counts) => this.coordination.singletonTasks?.take(source, counts),
     });
     this.crashReports = new CrashReports({
       ...shared,
       self: node,
       liveNodes: () => this.fleet.liveNodes(),
-      tell: (...report) => peers.tellWorkerEnded(...report),
-      taken: (report, at) => quarantine.take(report, at),
-      withdrawn: (report) => quarantine.withdraw(report),
+      notifyNode: (...report) => peers.reportWorkerCrash(...report),
+      onReport: (report, at) => quarantine.applyReport(report, at),
+      onWithdrawal: (report) => quarantine.withdraw(report),
     });
-    this.fleet.otherChanges.subscribe((change) => this.crashReports.take(change));
-    this.fleet.arrivals.subscribe((arrived) => this.crashReports.inform(arrived));
-    this.fleet.storeRegained.subscribe(() => this.crashReports.retrySoon());
+    this.fleet.otherChanges.subscribe((change) => this.crashReports.applyChange(change));
+    this.fleet.arrivals.subscribe((arrived) => this.crashReports.sendUnsavedTo(arrived));
+    this.fleet.storeReconnected.subscribe(() => this.crashReports.retryNow());
     const quarantine = new RequestQuarantine({
       ...shared,
-      standingOf: (worker) => options.engine.standingOf(worker, this.healthPathOf(worker)),
-      report: (report) => this.crashReports.report(report),
-      reportAcquittal: (request) => this.crashReports.acquit(request),
+      probeLiveness: (worker) => options.engine.probeLiveness(worker, this.healthPathOf(worker)),
+      reportCrash: (report) => this.crashReports.report(report),
+      reportAcquittal: (request) => this.crashReports.withdraw(request),
     });
     this.quarantine = quarantine;
     const sending = { ...shared, quarantine };
     this.forwarder = new RequestForwarder({
       ...sending,
-      noteBegun: (tenant, at) => this.coordination.duties?.meter?.noteBegun(tenant, at),
+      noteBegun: (tenant, at) => this.coordination.singletonTasks?.meter?.noteBegun(tenant, at),
     });
     this.dispatcher = new ItemDispatcher({
       ...sending,
-      isStoreSilent: () => this.fleet.isCutOff,
-      wayCost: itemDistanceCost(topology, servesAlone),
+      isStoreUnreachable: () => this.fleet.isStoreUnreachable,
+      distanceCost: itemDistanceCost(topology, servesAlone),
     });
     this.jobs = new JobService({
       ...shared,
@@ -222,14 +223,14 @@
       ),
       ...{ journals, residency },
       isWriterLive: (writer) => autonomy.isWriterLive(writer),
-      mayRecover: () => !this.fleet.isCutOff && this.placement.owners().includes(node),
+      canRecover: () => !this.fleet.isStoreUnreachable && this.placement.owners().includes(node),
       peers,
       dispatcher: this.dispatcher,
       retention: () => options.timings().jobRetention,
     });
     this.feeds = new FleetFeeds({ store, translation: options.feeds, log });
     this.feeds.events.subscribe((event) => this.take(event));
-    this.fleet.storeRegained.subscribe(() => this.feeds.restart());
+    this.fleet.storeReconnected.subscribe(() => this.feeds.restart());
     const { fleet, jobs: service } = this;
     this.takeover = new JobTakeover({
       store: jobStore,
@@ -238,11 +239,11 @@
       self,
       ...{ placement: this.placement, residency },
       peers: port,
-      adoptElsewhere: (...adoption) => peers.adoptElsewhere(...adoption),
+      adoptElsewhere: (...adoption) => peers.requestTakeover(...adoption),
     });
     this.monitor = new PeerMonitor({
       ...{ fleet, peers: port, self, clock, log },
-      isNear: (name) => topology.isInOwnRegion(fleet.zoneOf(name) ?? zone),
+      isInSameRegion: (name) => topology.isInOwnRegion(fleet.zoneOf(name) ?? zone),
     });
     this.monitor.suspicions.subscribe((suspicion) => this.takeOverFrom(suspicion));
     this.coordination = new Coordination({
@@ -252,7 +253,7 @@
       isEvacuated: (zoneName) => this.gate.isEvacuated(zoneName),
       localities,
       isStorageEmpty: (name) => autonomy.isStorageEmpty(name),
-      sweep: () => void this.takeover.sweep(),
+      takeOverUnownedJobs: () => void this.takeover.sweep(),
       removeExpired: () => {
         void service.removeExpired();
         void this.crashReports.removeExpired();
@@ -288,7 +289,7 @@
     else if (event.kind === 'worker-unreadable') this.roster.noteUnreadable(event.worker);
     else if (event.kind === 'workers-listed') this.noteWorkersListed();
     else if (event.kind === 'version-named')
-      this.coordination.nameVersion(event.model, event.version);
+      this.coordination.noteNamedVersion(event.model, event.version);
     else if (event.kind === 'storage-drain') this.takeStorageDrain(event.node);
     else if (event.kind === 'zone-evacuated') this.gate.evacuate(event.zone);
     else if (event.kind === 'zone-returned') this.gate.endEvacuation(event.zone);
@@ -363,7 +364,7 @@
   /** After the last request has ended: nothing that was counted is lost. */
   async finish(): Promise<void> {
     this.quarantine.settle();
-    await Promise.all([this.coordination.finish(), this.crashReports.finish()]);
+    await Promise.all([this.coordination.finish(), this.crashReports.flush()]);
   }
 
   private scheduleTick(): void {
@@ -411,22 +412,22 @@
   /** A node that would be missed at once keeps a lease that lapses soon. */
   private lookAtDuties(): void {
     const now = this.options.clock.now();
-    if (this.fleet.hasDuties || now < this.nextDutyLookAt) return;
+    if (this.fleet.requiresShortLease || now < this.nextDutyLookAt) return;
     this.nextDutyLookAt = now + DUTY_INTERVAL;
     const { node } = this.options;
     const runsJobs = this.jobs.ownedJobs().some((job) => job.isOpen);
     const isOwner = this.placement.owners().includes(node);
-    if (runsJobs || isOwner || this.relay.isRelay) this.fleet.takeDuties();
+    if (runsJobs || isOwner || this.relay.isRelay) this.fleet.requireShortLease();
   }
 
   /** The nodes that watch a suspected one act in turn, so that they rarely race. */
   private takeOverFrom({ owner, ownerAnswers, rank }: Suspicion): void {
-    this.placement.noteSilent(owner.node);
+    this.placement.noteUnresponsive(owner.node);
     setTimeout(() => {
       if (this.isStopping || !this.monitor.isSuspected(owner)) return;
       const isStillSuspected = (): boolean => this.monitor.isSuspected(owner);
       void this.takeover.takeFrom(owner, ownerAnswers, isStillSuspected);
-      void this.coordination.lock.takeFrom(owner);
+      void this.coordination.lock.takeOverFrom(owner);
     }, rank * SUSPICION_RANK_DELAY);
   }
 
--- a/src/fleet/gateway-options.ts
+++ b/src/fleet/gateway-options.ts
@@ -65,12 +65,12 @@
   /** Processor share of this machine, in cores of ordinary speed. @default 1 */
   readonly capacity?: number;
   /** Duties towards the operator's cloud interface. @default none */
-  readonly duties?: SingletonTaskSettings;
+  readonly singletonTasks?: SingletonTaskSettings;
   /**
    * Whether each zone serves its own callers, also while it is cut off: jobs are run by nodes and,
    * as far as they have room, workers of the zone that they were handed in at. @default false
    */
-  readonly zonesServeAlone?: boolean;
+  readonly areZonesAutonomous?: boolean;
   /**
    * Replicas of a zone's journal that keep a job, where zones serve their own callers: one more than
    * the machines with disks that may be lost at once. @default 0
--- a/src/fleet/job-placement.ts
+++ b/src/fleet/job-placement.ts
@@ -74,7 +74,7 @@
   }
 
   /** Whether each zone or each region runs the jobs of its own callers. */
-  get isLocal(): boolean {
+  get isByLocality(): boolean {
     return this.options.localities !== undefined;
   }
 
@@ -140,7 +140,7 @@
   }
 
   /** A node did not answer: others run its jobs for a while. */
-  noteSilent(node: NodeId): void {
+  noteUnresponsive(node: NodeId): void {
     this.avoidedUntil.set(node, this.options.clock.now() + SILENCE_PENALTY);
   }
 
--- a/src/fleet/job-takeover.ts
+++ b/src/fleet/job-takeover.ts
@@ -85,7 +85,7 @@
 
   constructor(private readonly options: JobTakeoverOptions) {
     this.residency = options.residency ?? UNRESTRICTED_RESIDENCY;
-    options.fleet.departures.subscribe((departure) => this.scanAfter(departure));
+    options.fleet.terminations.subscribe((departure) => this.scanAfter(departure));
     options.fleet.listed.subscribe(() => this.scanSoon());
   }
 
@@ -174,11 +174,11 @@
       if (node === self.node) break;
       if (await adoptElsewhere(node, job, owner, ownerAnswers)) return;
     }
-    if (mayAdopt) await service.adopt(job, found, ownerAnswers);
+    if (mayAdopt) await service.takeOver(job, found, ownerAnswers);
   }
 
   private mayHold({ head }: VersionedHead): MayHold {
-    return this.residency.holders(this.residency.allowedOf(head));
+    return this.residency.holderFilter(this.residency.regionsForOrigin(head));
   }
 
   /** A job without a live owner is taken here, or offered where it is at home or may lie. */
@@ -192,7 +192,7 @@
     const isOfOthers = owner !== null && placement.isOfOtherRegion(zone);
     if (isOfOthers || !this.mayHold(found)(self.node)) {
       await this.adoptByPlacement(job, found, owner, ownerAnswers);
-    } else await service.adopt(job, found, ownerAnswers);
+    } else await service.takeOver(job, found, ownerAnswers);
   }
 
   /** Cancels scans that are due. */
@@ -221,9 +221,9 @@
   private async stateOf(owner: JobOwner | null): Promise<OwnerState> {
     if (owner === null || this.isSelf(owner)) return 'gone';
     const request = { kind: 'probe', owner } as const;
-    const outcome = await this.options.peers.ask<'probe'>(owner.address, request, PROBE_LIMIT);
+    const outcome = await this.options.peers.request<'probe'>(owner.address, request, PROBE_LIMIT);
     if (outcome.kind !== 'answered' || !outcome.answer.isAlive) return 'gone';
-    const isAlone = !this.options.fleet.wasSilentWithin(RETURN_TIME);
+    const isAlone = !this.options.fleet.wasStoreUnreachableWithin(RETURN_TIME);
     return outcome.answer.reachesStore || !isAlone ? 'running' : 'cut-off';
   }
 
@@ -243,7 +243,7 @@
     if (isFinished(head)) return false;
     if (head.owner === null) return true;
     if (!this.isSelf(head.owner)) return !fleet.isLive(head.owner);
-    if (service.isAdopting(job)) return false;
+    if (service.isTakingOver(job)) return false;
     return !service.ownedJobs().some((owned) => owned.spec.id === job && owned.isActive);
   }
 }
--- a/src/fleet/peer-monitor.ts
+++ b/src/fleet/peer-monitor.ts
@@ -46,7 +46,7 @@
   readonly clock: Pick<Clock, 'now'>;
   readonly log: DecisionLog;
   /** Whether a node is of this node's region, and so may be watched. @default all are */
-  readonly isNear?: (node: NodeId) => boolean;
+  readonly isInSameRegion?: (node: NodeId) => boolean;
 }
 
 /** A life of a node that fell silent, or answers and does not reach the store. */
@@ -97,7 +97,7 @@
     const targets = this.targets();
     for (const node of this.watched.keys()) if (!targets.includes(node)) this.watched.delete(node);
     for (const node of targets) {
-      const owner = this.options.fleet.ownerOf(node);
+      const owner = this.options.fleet.incarnationOf(node);
       const address = this.options.fleet.addressOf(node);
       if (owner === undefined || address === undefined) continue;
       const watched = this.watchedNode(owner);
@@ -118,7 +118,11 @@
   private async probe(watched: WatchedNode, address: string): Promise<void> {
     watched.isAsked = true;
     const { owner } = watched;
-    const outcome = await this.options.peers.ask(address, { kind: 'probe', owner }, PROBE_LIMIT);
+    const outcome = await this.options.peers.request(
+      address,
+      { kind: 'probe', owner },
+      PROBE_LIMIT,
+    );
     watched.isAsked = false;
     const isAlive = outcome.kind === 'answered' && outcome.answer.isAlive;
     const isOtherLife = outcome.kind === 'answered' && !outcome.answer.isAlive;
@@ -140,7 +144,7 @@
   }
 
   private noteStoreReach(watched: WatchedNode, reachesStore: boolean): void {
-    const isAlone = !reachesStore && !this.options.fleet.wasSilentWithin(RETURN_TIME);
+    const isAlone = !reachesStore && !this.options.fleet.wasStoreUnreachableWithin(RETURN_TIME);
     watched.cutOff = isAlone ? watched.cutOff + 1 : 0;
     if (watched.cutOff >= CUT_OFF_LIMIT) this.suspect(watched, 'cut-off', true);
     else if (reachesStore) this.clear(watched);
@@ -162,7 +166,7 @@
 
   /** The nodes that follow this one on the ring of hashed names. */
   private targets(): NodeId[] {
-    const { isNear = () => true } = this.options;
+    const { isInSameRegion: isNear = () => true } = this.options;
     const self = this.options.self.node;
     const start = placementHash(self);
     const others = this.options.fleet.liveNodes().filter((node) => node !== self && isNear(node));
--- a/src/fleet/peer-request-handler.ts
+++ b/src/fleet/peer-request-handler.ts
@@ -32,17 +32,17 @@
   readonly lock: () => CoordinatorLock;
   readonly relay: () => WatchRelay;
   /** Called on the holder of the duties: what workers began to run for another node. */
-  readonly usageTold: (source: UsageSource, counts: WindowCounts) => void;
+  readonly onUsageReported: (source: UsageSource, counts: WindowCounts) => void;
   /** Another node was told by a broken connection that a worker ended. */
-  readonly workerEnded: (report: CrashReport) => void;
+  readonly onWorkerCrashed: (report: CrashReport) => void;
   /** Called on the coordinator: what a job needs. */
-  readonly weightsNeeded: (need: WeightNeed) => void;
+  readonly onWeightsNeeded: (need: WeightNeed) => void;
   /** A worker changes weights, or has. */
-  readonly weightChanged: (change: WeightChange) => void;
+  readonly onWeightChanged: (change: WeightChange) => void;
   /** Called on the coordinator: permits that another node wishes for. */
   readonly permits: (wishes: readonly PermitRequest[]) => PermitAnswer;
   /** Whether this zone takes jobs in while the store is out of reach. */
-  readonly takesJobsAlone: () => boolean;
+  readonly acceptsJobsWithoutStore: () => boolean;
 }
 
 /** This node, as the others ask it. */
@@ -50,30 +50,30 @@
   constructor(private readonly options: PeerRequestHandlerOptions) {}
 
   async answer(request: PeerRequest): Promise<PeerAnswers[PeerRequest['kind']] | undefined> {
-    const { self, jobs, weightsNeeded } = this.options;
+    const { self, jobs, onWeightsNeeded: weightsNeeded } = this.options;
     switch (request.kind) {
       case 'probe':
         return {
           isAlive: request.owner.incarnation === self.incarnation,
-          reachesStore: !this.options.fleet.isCutOff,
-          hasDuties: this.options.fleet.hasDuties,
+          reachesStore: !this.options.fleet.isStoreUnreachable,
+          hasDuties: this.options.fleet.requiresShortLease,
         };
       case 'kept-work':
-        return { work: jobs().keptWorkOf(request.items, request.zone) };
+        return { work: jobs().cachedWorkOf(request.items, request.zone) };
       case 'job-results':
         return jobs().ownListing(request.job, request.after, request.wait);
       case 'end-job':
         return { isEnded: await this.endHere(request.job, request.caller) };
       case 'surrender-job':
-        return { work: jobs().surrender(request.job, request.zone) };
+        return { work: jobs().releaseTakenOver(request.job, request.zone) };
       case 'submit-for':
         return { failure: await this.submitFor(request) };
       case 'adopt-job':
         return {
-          isTaken: await jobs().adoptFrom(request.job, request.owner, request.ownerAnswers),
+          isTaken: await jobs().takeOverFrom(request.job, request.owner, request.ownerAnswers),
         };
       case 'item-body':
-        return jobs().ownBody(request.job, request.item);
+        return jobs().ownItemBody(request.job, request.item);
       case 'read-for':
         return { read: await this.readHere(request) };
       case 'end-for':
@@ -87,13 +87,13 @@
       case 'resign-coordinator':
         return { lastOrderAge: this.options.lock().resign() };
       case 'worker-ended':
-        this.options.workerEnded(request.report);
+        this.options.onWorkerCrashed(request.report);
         return { isNoted: true };
       case 'usage-counts':
-        this.options.usageTold(request.source, request.counts);
+        this.options.onUsageReported(request.source, request.counts);
         return { isNoted: true };
       case 'weights-change':
-        this.options.weightChanged(request.change);
+        this.options.onWeightChanged(request.change);
         return { isNoted: true };
       case 'cold-permits':
         return this.options.permits(request.wishes);
@@ -106,17 +106,17 @@
   }
 
   private async endHere(job: string, caller: CallerIdentity): Promise<boolean> {
-    const { fleet, jobs, takesJobsAlone } = this.options;
-    return (!fleet.isCutOff || takesJobsAlone()) && jobs().endOwn(job, caller);
+    const { fleet, jobs, acceptsJobsWithoutStore: takesJobsAlone } = this.options;
+    return (!fleet.isStoreUnreachable || takesJobsAlone()) && jobs().cancelOwn(job, caller);
   }
 
   private endFor(job: string, caller: CallerIdentity): Promise<Failure | undefined> {
-    return this.options.jobs().endHere(job, caller, this.whileAsked(END_LIMIT));
+    return this.options.jobs().cancelHere(job, caller, this.whileAsked(END_LIMIT));
   }
 
   private readHere(request: PeerRequestOf<'read-for'>): Promise<ResultSlice | Failure> {
     const { job, after, wait, caller } = request;
-    return this.options.jobs().readFor(job, after, wait, caller);
+    return this.options.jobs().readForPeer(job, after, wait, caller);
   }
 
   /** Takes a job in for another node; refuses at once where the store is out of reach. */
@@ -125,8 +125,8 @@
     limit,
     isFromOutside = false,
   }: PeerRequestOf<'submit-for'>): Promise<Failure | undefined> {
-    const { fleet, jobs, takesJobsAlone } = this.options;
-    if (fleet.isCutOff && (isFromOutside || !takesJobsAlone())) {
+    const { fleet, jobs, acceptsJobsWithoutStore: takesJobsAlone } = this.options;
+    if (fleet.isStoreUnreachable && (isFromOutside || !takesJobsAlone())) {
       return failure('ledger_unavailable', 'the store does not answer', {
         retryAfter: STORE_RETRY_AFTER,
       });
--- a/src/fleet/peer-requester.ts
+++ b/src/fleet/peer-requester.ts
@@ -40,42 +40,42 @@
   constructor(private readonly options: PeerRequesterOptions) {}
 
   /** Asks a live node; `undefined` where it is not known. */
-  async ask<Kind extends PeerRequest['kind']>(
+  async request<Kind extends PeerRequest['kind']>(
     node: NodeId,
     request: PeerRequestOf<Kind>,
     limit: Milliseconds,
   ): Promise<PeerOutcome<Kind> | undefined> {
     const address = this.options.fleet.addressOf(node);
-    return address === undefined ? undefined : this.askAt<Kind>(address, request, limit);
+    return address === undefined ? undefined : this.requestAt<Kind>(address, request, limit);
   }
 
   /** Asks whoever lives at an address. */
-  async askAt<Kind extends PeerRequest['kind']>(
+  async requestAt<Kind extends PeerRequest['kind']>(
     address: string,
     request: PeerRequestOf<Kind>,
     limit: Milliseconds,
   ): Promise<PeerOutcome<Kind>> {
-    const outcome = await this.options.port.ask<Kind>(address, request, limit);
+    const outcome = await this.options.port.request<Kind>(address, request, limit);
     const labels = { call: request.kind, outcome: outcome.kind };
     this.options.metrics.count('peer_calls', labels);
     return outcome;
   }
 
   /** Whether a node answers and reaches the store. */
-  async reachesStore(node: NodeId): Promise<boolean> {
+  async canReachStore(node: NodeId): Promise<boolean> {
     const answer = await this.probe(node);
     return answer?.isAlive === true && answer.reachesStore;
   }
 
   /** Whether a node answers, whatever it reaches. */
-  async lives(node: NodeId): Promise<boolean> {
+  async isAlive(node: NodeId): Promise<boolean> {
     return (await this.probe(node))?.isAlive ?? false;
   }
 
   private async probe(node: NodeId): Promise<PeerAnswers['probe'] | undefined> {
-    const owner = this.options.fleet.ownerOf(node);
+    const owner = this.options.fleet.incarnationOf(node);
     if (owner === undefined) return undefined;
-    const outcome = await this.ask<'probe'>(node, { kind: 'probe', owner }, PROBE_LIMIT);
+    const outcome = await this.request<'probe'>(node, { kind: 'probe', owner }, PROBE_LIMIT);
     return outcome?.kind === 'answered' ? outcome.answer : undefined;
   }
 
@@ -83,13 +83,13 @@
    * Where this node is cut off from the store: another one that is not, of the own zone if possible,
    * else of the own region.
    */
-  async nodeThatReachesStore(
+  async findNodeReachingStore(
     where: 'anywhere' | 'own-zone' = 'anywhere',
     mayAsk: MayHold = () => true,
   ): Promise<NodeId | undefined> {
-    if (!this.options.fleet.isCutOff) return undefined;
+    if (!this.options.fleet.isStoreUnreachable) return undefined;
     const states = this.nodesToProbe(where, mayAsk).map(async (node) =>
-      (await this.reachesStore(node)) ? node : undefined,
+      (await this.canReachStore(node)) ? node : undefined,
     );
     return (await Promise.all(states)).find((node) => node !== undefined);
   }
--- a/src/fleet/relay-upstream.ts
+++ b/src/fleet/relay-upstream.ts
@@ -62,7 +62,11 @@
     const first = this.first();
     if (first === undefined) return this.options.store.range(prefix);
     const request = { kind: 'list-prefix', prefix, forRelay: true } as const;
-    const outcome = await this.options.peers.ask<'list-prefix'>(first.address, request, LIST_LIMIT);
+    const outcome = await this.options.peers.request<'list-prefix'>(
+      first.address,
+      request,
+      LIST_LIMIT,
+    );
     if (outcome.kind === 'answered' && outcome.answer.isCurrent) {
       const { items, revision } = outcome.answer;
       this.noteTold(prefix, first.node);
@@ -84,7 +88,11 @@
     if (first === undefined) return store.watch(prefix, after, wait, signal);
     const limit = Math.min(wait, WAIT_SHARE * changeBound());
     const request = { kind: 'follow-prefix', prefix, after, wait: limit, forRelay: true } as const;
-    const outcome = await peers.ask<'follow-prefix'>(first.address, request, limit + ANSWER_LIMIT);
+    const outcome = await peers.request<'follow-prefix'>(
+      first.address,
+      request,
+      limit + ANSWER_LIMIT,
+    );
     if (outcome.kind === 'answered' && outcome.answer.isCurrent) {
       const { answer } = outcome;
       this.noteTold(prefix, first.node);
--- a/src/fleet/singleton-tasks.ts
+++ b/src/fleet/singleton-tasks.ts
@@ -45,7 +45,7 @@
 
 /** Options of {@link SingletonTasks}. */
 export interface SingletonTasksOptions {
-  readonly duties: SingletonTaskSettings;
+  readonly settings: SingletonTaskSettings;
   readonly lock: CoordinatorLock;
   readonly store: SharedStore;
   readonly self: JobOwner;
@@ -76,7 +76,7 @@
   private readonly scaler: WorkerScaler | undefined;
 
   constructor(private readonly options: SingletonTasksOptions) {
-    const { duties, self } = options;
+    const { settings: duties, self } = options;
     const shared = { ...options, port: duties.port, node: self.node };
     if (duties.usage !== undefined) this.usage = this.joinUsage(duties.usage);
     if (duties.scalesWorkers) {
@@ -102,7 +102,7 @@
 
   /** Another node told what workers began to run for it. */
   take(source: UsageSource, counts: WindowCounts): void {
-    this.usage?.gathered.take(source, counts);
+    this.usage?.gathered.merge(source, counts);
   }
 
   /** Before the process ends: nothing that was counted is lost. */
@@ -120,7 +120,7 @@
     const { node, incarnation: source } = self;
     const shared = {
       ...options,
-      port: options.duties.port,
+      port: options.settings.port,
       meter,
       gathered,
       records,
@@ -132,7 +132,7 @@
     return {
       meter,
       gathered,
-      sender: new UsageSender({ ...shared, duties }),
+      sender: new UsageSender({ ...shared, taskHolder: duties }),
       reporter: new UsageReporter({ ...shared, windows, dueAfter, firstWindow }),
     };
   }
--- a/src/fleet/submission-router.ts
+++ b/src/fleet/submission-router.ts
@@ -49,7 +49,7 @@
   readonly self: JobOwner;
   readonly clock: Pick<Clock, 'now' | 'sleep'>;
   /** Whether this zone takes jobs in while the store is out of reach. */
-  readonly takesJobsAlone: () => boolean;
+  readonly acceptsJobsWithoutStore: () => boolean;
   /** Which nodes may hold a job. @default all */
   readonly residency?: JobResidency | undefined;
 }
@@ -64,18 +64,18 @@
 
   /** Has another node take the job in, or tells that it is for this one to store. */
   async route(spec: JobSpecification): Promise<SubmissionPath> {
-    const { fleet, placement, self, clock, takesJobsAlone } = this.options;
+    const { fleet, placement, self, clock, acceptsJobsWithoutStore: takesJobsAlone } = this.options;
     const deadline = clock.now() + SUBMIT_LIMIT;
-    const allowed = this.residency.allowedFor(spec);
+    const allowed = this.residency.regionsForSpec(spec);
     const mayStayHere = this.residency.mayHoldHere(allowed);
-    const mayOwn = this.residency.holders(allowed);
+    const mayOwn = this.residency.holderFilter(allowed);
     const offers = mayStayHere
       ? placement.offersFor(spec.id, mayOwn)
       : await this.answering(placement.offersElsewhere(spec.id, mayOwn));
     let mayRunElsewhere = false;
     for (const node of offers) {
       if (node === self.node) {
-        if (fleet.isCutOff && !takesJobsAlone()) continue;
+        if (fleet.isStoreUnreachable && !takesJobsAlone()) continue;
         break;
       }
       const limit = deadline - clock.now();
@@ -90,14 +90,14 @@
         if (!isOutage || !isTimeLeft) return { kind: 'answered', failure: refusal };
         continue;
       }
-      if (outcome.kind !== 'unsupported') placement.noteSilent(node);
+      if (outcome.kind !== 'unsupported') placement.noteUnresponsive(node);
       if (outcome.kind === 'silent') {
         mayRunElsewhere = true;
         break;
       }
     }
     if (!mayStayHere) return { kind: 'nowhere', failure: refusalOutside(allowed, mayRunElsewhere) };
-    if (fleet.isCutOff) return this.routeAnywhere(spec, mayRunElsewhere, deadline);
+    if (fleet.isStoreUnreachable) return this.routeAnywhere(spec, mayRunElsewhere, deadline);
     return { kind: 'here', mayRunElsewhere };
   }
 
@@ -105,9 +105,9 @@
   private async answering(nodes: readonly NodeId[]): Promise<NodeId[]> {
     const { calls, placement } = this.options;
     const first = nodes.slice(0, MOST_PROBED);
-    const lives = await Promise.all(first.map((node) => calls.lives(node)));
+    const lives = await Promise.all(first.map((node) => calls.isAlive(node)));
     const silent = first.filter((_, index) => lives[index] !== true);
-    for (const node of silent) placement.noteSilent(node);
+    for (const node of silent) placement.noteUnresponsive(node);
     return first.filter((_, index) => lives[index] === true).slice(0, OFFERS_ACROSS);
   }
 
@@ -120,13 +120,13 @@
     request: PeerRequestOf<'submit-for'>,
   ): Promise<PeerOutcome<'submit-for'> | undefined> {
     const { calls, clock, fleet } = this.options;
-    const asked = calls.ask<'submit-for'>(node, request, request.limit + ANSWER_TIME);
+    const asked = calls.request<'submit-for'>(node, request, request.limit + ANSWER_TIME);
     for (;;) {
       const pause = clock.sleep(CHECK_INTERVAL).then(() => 'pending' as const);
       const outcome = await Promise.race([asked, pause]);
       if (outcome !== 'pending') return outcome;
-      const reaches = await calls.reachesStore(node);
-      if (!reaches && !fleet.isCutOff) return { kind: 'silent' };
+      const reaches = await calls.canReachStore(node);
+      if (!reaches && !fleet.isStoreUnreachable) return { kind: 'silent' };
     }
   }
 
@@ -137,13 +137,13 @@
     deadline: Milliseconds,
   ): Promise<SubmissionPath> {
     const { calls, clock, placement } = this.options;
-    const mayAsk = this.residency.holders(this.residency.allowedFor(spec));
+    const mayAsk = this.residency.holderFilter(this.residency.regionsForSpec(spec));
     const where = placement.isByZone ? 'own-zone' : 'anywhere';
-    const node = await calls.nodeThatReachesStore(where, mayAsk);
+    const node = await calls.findNodeReachingStore(where, mayAsk);
     if (node === undefined) return { kind: 'here', mayRunElsewhere };
     const limit = Math.max(LEAST_OFFER, deadline - clock.now());
     const request = { kind: 'submit-for', spec, limit } as const;
-    const outcome = await calls.ask<'submit-for'>(node, request, limit + ANSWER_TIME);
+    const outcome = await calls.request<'submit-for'>(node, request, limit + ANSWER_TIME);
     if (outcome?.kind === 'silent') return { kind: 'answered', failure: MAY_BE_STORED };
     if (outcome?.kind !== 'answered') return { kind: 'here', mayRunElsewhere };
     const { failure: refusal } = outcome.answer;
--- a/src/fleet/watch-relay.ts
+++ b/src/fleet/watch-relay.ts
@@ -113,8 +113,8 @@
       watch: (prefix, after, wait, signal) => this.watch(prefix, after, wait, signal),
       commit: (commit) => store.commit(commit),
       grantLease: (ttl) => store.grantLease(ttl),
-      keepLease: (lease) => store.keepLease(lease),
-      endLease: (lease) => store.endLease(lease),
+      renewLease: (lease) => store.renewLease(lease),
+      revokeLease: (lease) => store.revokeLease(lease),
     };
   }
 
@@ -247,7 +247,7 @@
       const left = Math.min(waitLeft + answerLimit, deadline - clock.now());
       if (left <= 0) break;
       if (address === undefined) continue;
-      const outcome = await peers.ask<Kind>(address, request(waitLeft), left);
+      const outcome = await peers.request<Kind>(address, request(waitLeft), left);
       const isCurrent = outcome.kind === 'answered' && outcome.answer.isCurrent;
       const told = outcome.kind === 'answered' ? 'not-current' : outcome.kind;
       metrics.count('relayed_watches', { outcome: isCurrent ? 'current' : told });
--- a/src/fleet/weight-rollout.ts
+++ b/src/fleet/weight-rollout.ts
@@ -37,13 +37,13 @@
   readonly metrics: FleetMetrics;
   readonly holder: string;
   /** Newest version that a trainer named, by model. */
-  readonly named: ReadonlyMap<ModelName, NamedVersion>;
+  readonly namedVersions: ReadonlyMap<ModelName, NamedVersion>;
   /** Whether a service is part of the configuration in force. */
   readonly isConfigured: (service: ServiceName) => boolean;
   /** Told of each change that was ordered, and of each that has shown. */
   readonly noteChange: (change: WeightChange) => void;
   /** Whether a worker is sent no work for the time being, as its zone is evacuated. @default none is */
-  readonly isAway?: (worker: KnownWorker) => boolean;
+  readonly isEvacuated?: (worker: KnownWorker) => boolean;
   /** The zone or region that serves the callers of a zone first. @default each zone by itself */
   readonly localityOf?: ((zone: ZoneName) => LocalityName) | undefined;
   /** What becomes of runs at a worker that changes its weights. */
@@ -101,7 +101,7 @@
   }
 
   /** A job needs weights of at least this version: workers behind it change first. */
-  require({ model, version, tokens, zone }: WeightNeed): void {
+  requireWeights({ model, version, tokens, zone }: WeightNeed): void {
     if (version > (this.required.get(model) ?? 0)) this.required.set(model, version);
     this.assignment.noteWork(model, tokens, zone);
   }
@@ -133,7 +133,7 @@
    */
   private pendingChanges(): PendingChange[] {
     const now = this.options.clock.now();
-    const { isAway = () => false } = this.options;
+    const { isEvacuated: isAway = () => false } = this.options;
     const workers = this.orderable().filter(({ record }) => !record.draining);
     const present = workers.filter((worker) => !isAway(worker));
     const away = workers.filter(isAway);
@@ -157,7 +157,7 @@
     serves: Division,
     now: Milliseconds,
   ): PendingChange[] {
-    return [...this.options.named].flatMap(([model, { version, namedAt }]) => {
+    return [...this.options.namedVersions].flatMap(([model, { version, namedAt }]) => {
       const holders = workers.filter(
         (worker) => worker.versionOf(model) > 0 && serves(worker.record.id, model),
       );
@@ -173,7 +173,7 @@
     serves: Division,
     now: Milliseconds,
   ): PendingChange[] {
-    const { named } = this.options;
+    const { namedVersions: named } = this.options;
     return this.changesAmong(workers, serves, now).filter(({ model }) => {
       const namedAt = named.get(model)?.namedAt ?? now;
       return now - namedAt >= CATCH_UP_DELAY;
@@ -188,7 +188,7 @@
   }
 
   private namedVersions(): Map<ModelName, WeightVersion> {
-    return new Map([...this.options.named].map(([model, { version }]) => [model, version]));
+    return new Map([...this.options.namedVersions].map(([model, { version }]) => [model, version]));
   }
 
   private async perform(change: PendingChange): Promise<void> {
@@ -199,7 +199,7 @@
       return this.postpone(worker, RETRY_PAUSE);
     }
     for (const held of report.models) worker.noteVersion(held.name, held.version);
-    const version = this.options.named.get(model)?.version ?? change.version;
+    const version = this.options.namedVersions.get(model)?.version ?? change.version;
     if (worker.versionOf(model) >= version) return;
     if (report.busy) return this.postpone(worker, CHECK_INTERVAL);
     const fencingToken = lock.beginOrder();
--- a/src/fleet/worker-gate.ts
+++ b/src/fleet/worker-gate.ts
@@ -60,7 +60,7 @@
       ...{ self: node.node, clock: node.clock, log, metrics, tolerance: node.coldTolerance },
       registry: () => this.registry,
       ask: options.askForPermits,
-      coldTimeOf: (worker) => engine.coldTimeOf(worker, options.healthPathOf(worker)),
+      coldTimeOf: (worker) => engine.probeColdTime(worker, options.healthPathOf(worker)),
     });
     const rules = new SendRules([
       new ResidencyRule(topology),
@@ -74,7 +74,7 @@
 
   /** Whether what this node knows of evacuations is too old to send anything on. */
   get isOutdated(): boolean {
-    return this.evacuationBelief.isOutdated;
+    return this.evacuationBelief.isStale;
   }
 
   /** Whether a zone's workers are sent nothing now. */
--- a/src/fleet/worker-roster.ts
+++ b/src/fleet/worker-roster.ts
@@ -29,7 +29,7 @@
 export interface WorkerRosterOptions {
   readonly registry: WorkerRegistry;
   readonly engine: EnginePort;
-  readonly fleet: Pick<FleetRegistry, 'wasSilentWithin'>;
+  readonly fleet: Pick<FleetRegistry, 'wasStoreUnreachableWithin'>;
   readonly log: DecisionLog;
   readonly metrics: FleetMetrics;
 }
@@ -78,7 +78,7 @@
   noteGone(id: string): void {
     const { registry, fleet, log } = this.options;
     const record = registry.get(id)?.record;
-    if (record === undefined || !fleet.wasSilentWithin(LAPSE_WINDOW)) {
+    if (record === undefined || !fleet.wasStoreUnreachableWithin(LAPSE_WINDOW)) {
       this.remove(id);
       return;
     }
--- a/src/fleet/zone-autonomy.ts
+++ b/src/fleet/zone-autonomy.ts
@@ -11,7 +11,7 @@
 /** Options of {@link ZoneAutonomy}. */
 export interface ZoneAutonomyOptions {
   /** Whether zones serve their own callers; else there are no journals. */
-  readonly isOn: boolean;
+  readonly isEnabled: boolean;
   /** Replicas that keep a job. */
   readonly groupSize: number;
   readonly self: JobOwner;
@@ -29,22 +29,22 @@
   private readonly directory: ReplicaDirectory;
 
   constructor(private readonly options: ZoneAutonomyOptions) {
-    const { isOn, self, fleet } = options;
+    const { isEnabled: isOn, self, fleet } = options;
     this.directory = new ReplicaDirectory(options);
-    fleet.otherChanges.subscribe((change) => this.directory.take(change));
+    fleet.otherChanges.subscribe((change) => this.directory.applyChange(change));
     fleet.listed.subscribe(() => this.directory.noteListed());
     const shared = { ...options, directory: this.directory };
     this.journals = isOn ? new ZoneJournals({ ...shared, writer: writerOf(self) }) : undefined;
   }
 
   /** Whether this zone takes jobs in while the store is out of reach. */
-  get takesJobsAlone(): boolean {
+  get acceptsJobsWithoutStore(): boolean {
     return this.journals?.isUsable ?? false;
   }
 
   /** Whether a life of a node that wrote to a journal is live. */
   isWriterLive(writer: string): boolean {
-    return this.options.fleet.liveOwners().some((owner) => writerOf(owner) === writer);
+    return this.options.fleet.liveIncarnations().some((owner) => writerOf(owner) === writer);
   }
 
   /** Whether a machine with a disk holds nothing that the store lacks. */
--- a/src/jobs/item-dispatcher.ts
+++ b/src/jobs/item-dispatcher.ts
@@ -25,9 +25,9 @@
    * Whether the store answers nobody here: then no other node can have ended a job by it, and items
    * go on.
    */
-  readonly isStoreSilent: () => boolean;
+  readonly isStoreUnreachable: () => boolean;
   /** What the way to a worker of a zone costs. @default all workers are as near */
-  readonly wayCost?: DistanceCost | undefined;
+  readonly distanceCost?: DistanceCost | undefined;
 }
 
 /** Silence after which a run is given up. Loading weights may pause a worker for a second. */
@@ -124,7 +124,7 @@
     const rounds = new Map<ServiceName, PlacementRound>();
     const inOrder = [...this.jobs].sort((a, b) => a.spec.submittedAt - b.spec.submittedAt);
     for (const job of inOrder) {
-      if (!job.isOpen || (job.isDoubtful && !this.options.isStoreSilent())) continue;
+      if (!job.isOpen || (job.isDoubtful && !this.options.isStoreUnreachable())) continue;
       const waiting = job.waiting(now);
       waiting.sort(byUrgency);
       for (const entry of waiting) this.start(job, entry, routes, rounds, now);
@@ -155,7 +155,7 @@
   }
 
   private beginRound(service: ServiceName, now: Milliseconds): PlacementRound {
-    const { registry, wayCost } = this.options;
+    const { registry, distanceCost: wayCost } = this.options;
     return new PlacementRound(registry.available(service), now, wayCost, registry.rules);
   }
 
@@ -207,7 +207,7 @@
 
   /** Whether an item has to wait, or is sent no more, since workers ended under it. */
   private isHeldBack(entry: OwnedItem, now: Milliseconds): boolean {
-    const ends = this.options.quarantine.endedUnder(entry.asked);
+    const ends = this.options.quarantine.crashesUnder(entry.asked);
     if (ends.length < MAX_CRASHED_WORKERS) return false;
     if (ends.length >= MOST_ENDED_UNDER_ITEM) return true;
     return now - (ends.at(-1)?.at ?? now) < SUSPECT_PAUSE;
--- a/src/jobs/item-placement.ts
+++ b/src/jobs/item-placement.ts
@@ -58,7 +58,7 @@
 
 /** Whether a worker may run an item now. */
 export function mayRun(worker: KnownWorker, needs: ItemNeeds, now: Milliseconds): boolean {
-  if (!worker.hasRoom(now) || worker.isLoading(needs.model, now)) return false;
+  if (!worker.hasFreeSlot(now) || worker.isLoading(needs.model, now)) return false;
   const version = worker.versionOf(needs.model);
   if (version < needs.minVersion) return false;
   return needs.boundVersion === undefined || version === needs.boundVersion;
@@ -66,20 +66,20 @@
 
 /** Median pace of the workers that have one; 1 where none has. */
 export function medianPace(workers: readonly KnownWorker[]): Milliseconds {
-  const paces = workers.map((worker) => worker.pace).filter((pace) => pace !== undefined);
+  const paces = workers.map((worker) => worker.eventInterval).filter((pace) => pace !== undefined);
   paces.sort((left, right) => left - right);
   return paces[Math.floor(paces.length / 2)] ?? 1;
 }
 
 /** Whether a worker makes events much more slowly than most. */
 export function isSlow(worker: KnownWorker, median: Milliseconds): boolean {
-  return worker.pace !== undefined && worker.pace > SLOW_PACE_RATIO * median;
+  return worker.eventInterval !== undefined && worker.eventInterval > SLOW_PACE_RATIO * median;
 }
 
 /** Whether a worker makes events so much faster than another that a long run should move there. */
 export function isFaster(worker: KnownWorker, than: KnownWorker): boolean {
-  if (worker.pace === undefined || than.pace === undefined) return false;
-  return worker.pace * FASTER_PACE_RATIO <= than.pace;
+  if (worker.eventInterval === undefined || than.eventInterval === undefined) return false;
+  return worker.eventInterval * FASTER_PACE_RATIO <= than.eventInterval;
 }
 
 /** How little a worker suits an item: the least is the best. */
@@ -94,7 +94,7 @@
     Math.max(LEAST_LENGTH_WEIGHT, needs.relativeLength),
   );
   return (worker) => {
-    const pace = (worker.pace ?? median) / median;
+    const pace = (worker.eventInterval ?? median) / median;
     const occupied = worker.occupancy(now) / worker.record.slots;
     const shared = worker.record.id === sharedPromptWorker ? SHARED_PROMPT_GAIN : 0;
     return lengthWeight * pace + OCCUPANCY_WEIGHT * occupied - shared;
--- a/src/jobs/item-run.ts
+++ b/src/jobs/item-run.ts
@@ -84,7 +84,7 @@
   isStalled(now: Milliseconds): boolean {
     const silence = now - this.heardAt;
     if (!this.hasBegun) return silence > STALL.beforeFirst;
-    return silence > Math.max(STALL.betweenEvents, STALL.paces * (this.worker.pace ?? 0));
+    return silence > Math.max(STALL.betweenEvents, STALL.paces * (this.worker.eventInterval ?? 0));
   }
 
   /** Sends the request and follows its stream; never rejects. */
@@ -148,7 +148,7 @@
     const previous = this.lastEventAt;
     this.lastEventAt = this.heardAt;
     if (previous !== undefined) {
-      this.worker.notePace((this.heardAt - previous) / events.length);
+      this.worker.noteEventInterval((this.heardAt - previous) / events.length);
     }
     for (const event of events) {
       const verdict = this.progress.add(event);
--- a/src/jobs/item-scorer.ts
+++ b/src/jobs/item-scorer.ts
@@ -95,7 +95,7 @@
     const withRoom = (tried: ReadonlySet<string>): KnownWorker | undefined => {
       const worker = registry.pick(service, tried, zone, now, allowed);
       if (worker === undefined || hasRoom(worker)) return worker;
-      const far = registry.pickBeyondRegion(service, tried, zone, now, allowed);
+      const far = registry.pickInOtherRegion(service, tried, zone, now, allowed);
       return far !== undefined && hasRoom(far) ? far : undefined;
     };
     const fresh = withRoom(scoring.tried);
--- a/src/jobs/job-handover.ts
+++ b/src/jobs/job-handover.ts
@@ -60,7 +60,7 @@
   /** Whether the job may lie here; its head tells, so that nothing else of it is read. */
   private mayAdopt(job: string, head: JobHead): boolean {
     const { residency, log } = this.options;
-    const allowed = residency.allowedOf(head);
+    const allowed = residency.regionsForOrigin(head);
     if (residency.mayHoldHere(allowed)) return true;
     log.state('job-not-adopted', { job, allowedRegions: allowed?.join() ?? 'any' });
     return false;
@@ -84,7 +84,7 @@
     const { owner } = found.head;
     const asksOwner = ownerAnswers && owner !== null;
     const [surrendered, spec, results, progress] = await Promise.all([
-      asksOwner ? peers.surrenderedWork(owner, job) : undefined,
+      asksOwner ? peers.releaseAtOwner(owner, job) : undefined,
       untilAvailable(clock, () => store.specification(job)),
       untilAvailable(clock, () => store.results(job, 0)),
       untilAvailable(clock, () => store.progress(job)),
@@ -94,7 +94,7 @@
     const resumed = changesBeyond(claimed?.entries ?? [], change.current.head.pages);
     const kept = owned.keptWork(spec, progress ?? {}, surrendered);
     owned.own(spec, change.current, listed, kept, { journal: claimed?.journal, resumed });
-    peers.needWeights(weightNeedOf(spec));
+    peers.reportWeightNeed(weightNeedOf(spec));
     const previous = found.head.owner?.node ?? 'none';
     const details = { job, previous, listed: listed.length, handed: surrendered?.size ?? 0 };
     log.state('job-adopted', { ...details, journaled: resumed.length });
@@ -114,8 +114,8 @@
     const { replicas, term = FIRST_TERM } = head;
     if (replicas === undefined || journals === undefined) return undefined;
     const journal = journals.open(job, replicas, term + 1);
-    const allowed = residency.allowedOf(head);
-    if (!replicas.every(({ zone }) => residency.mayHoldIn(zone, allowed))) journal.takeNoEntries();
+    const allowed = residency.regionsForOrigin(head);
+    if (!replicas.every(({ zone }) => residency.mayHoldIn(zone, allowed))) journal.disableAppends();
     const claim = await journal.claim();
     if (claim.kind === 'claimed') return { journal, entries: claim.entries };
     if (claim.kind === 'disks-gone') return { journal, entries: [] };
@@ -136,8 +136,8 @@
     await Promise.all(
       open.map(async (job) => {
         await job.release(wanted);
-        const allowed = this.options.residency.allowedFor(job.spec);
-        if (job.ending === 'released') await this.options.peers.handOver(job.spec.id, allowed);
+        const allowed = this.options.residency.regionsForSpec(job.spec);
+        if (job.ending === 'released') await this.options.peers.offerReleased(job.spec.id, allowed);
       }),
     );
   }
@@ -145,10 +145,10 @@
   /** Has other nodes take the jobs that a changed configuration no longer lets lie here. */
   async moveMisplaced(): Promise<void> {
     const { owned, residency } = this.options;
-    if (!residency.isLimiting || this.isMoving) return;
+    if (!residency.limitsRegions || this.isMoving) return;
     this.isMoving = true;
     for (const job of owned.all()) {
-      const allowed = residency.allowedFor(job.spec);
+      const allowed = residency.regionsForSpec(job.spec);
       if (job.isOpen && !residency.mayHoldHere(allowed)) await this.moveAway(job, allowed);
     }
     this.isMoving = false;
@@ -156,7 +156,7 @@
 
   private async moveAway(job: OwnedJob, allowed: AllowedRegions): Promise<void> {
     const { peers, self, log, metrics } = this.options;
-    const isMoved = await peers.moveAway(job.spec.id, self, allowed);
+    const isMoved = await peers.transferMisplaced(job.spec.id, self, allowed);
     metrics.count('jobs_moved_by_region', { outcome: isMoved ? 'moved' : 'not-taken' });
     const allowedRegions = allowed?.join() ?? 'any';
     if (isMoved) log.state('job-moved-by-region', { job: job.spec.id, allowedRegions });
--- a/src/jobs/job-peers.ts
+++ b/src/jobs/job-peers.ts
@@ -45,7 +45,7 @@
 /** The other nodes, as the jobs' modules see them. */
 export interface JobPeers {
   /** What other nodes kept of items, by item id. */
-  keptWork(items: readonly string[]): Promise<ReadonlyMap<string, DigestedWork>>;
+  cachedWork(items: readonly string[]): Promise<ReadonlyMap<string, DigestedWork>>;
   /** Results behind a position, from the owner; `undefined` where it does not tell. */
   ownerListing(
     owner: JobOwner,
@@ -54,9 +54,9 @@
     wait: Milliseconds,
   ): Promise<OwnerListing | undefined>;
   /** Asks the owner to end a job on a caller's behalf; tells whether it did. */
-  endAtOwner(owner: JobOwner, job: string, caller: CallerIdentity): Promise<boolean>;
+  cancelAtOwner(owner: JobOwner, job: string, caller: CallerIdentity): Promise<boolean>;
   /** Has the owner of before give a job up; what it made of the items. */
-  surrenderedWork(owner: JobOwner, job: string): Promise<ReadonlyMap<string, DigestedWork>>;
+  releaseAtOwner(owner: JobOwner, job: string): Promise<ReadonlyMap<string, DigestedWork>>;
   /** Lives of nodes that probably run a job, the likeliest first, without this node. */
   likelyOwners(job: string): readonly JobOwner[];
   /** Has a likely owner tell the body of an item; `undefined` where none does. */
@@ -76,11 +76,11 @@
     wait: Milliseconds,
     caller: CallerIdentity,
   ): Promise<ResultSlice | Failure | undefined>;
-  endElsewhere(job: string, caller: CallerIdentity): Promise<ForwardedOutcome | undefined>;
+  cancelElsewhere(job: string, caller: CallerIdentity): Promise<ForwardedOutcome | undefined>;
   /** Offers a released job to another node that may hold it. */
-  handOver(job: string, allowed?: AllowedRegions): Promise<void>;
+  offerReleased(job: string, allowed?: AllowedRegions): Promise<void>;
   /** Has a node that may hold a job take it from a live owner; tells whether one did. */
-  moveAway(job: string, owner: JobOwner, allowed: AllowedRegions): Promise<boolean>;
+  transferMisplaced(job: string, owner: JobOwner, allowed: AllowedRegions): Promise<boolean>;
   /** Tells the coordinator what a job needs. */
-  needWeights(need: WeightNeed): void;
+  reportWeightNeed(need: WeightNeed): void;
 }
--- a/src/jobs/job-reader.ts
+++ b/src/jobs/job-reader.ts
@@ -76,7 +76,7 @@
     /** Lives of nodes that probably run a job, the likeliest first; all are asked before the store. */
     private readonly likelyOwners: (job: string) => readonly JobOwner[] = () => [],
     /** The zones' journals, where zones serve their own callers. */
-    private readonly journals?: Pick<ZoneJournals, 'sightOf' | 'sightAnywhere'>,
+    private readonly journals?: Pick<ZoneJournals, 'entryStatus' | 'entryStatusInAllZones'>,
     private readonly residency: JobResidency = UNRESTRICTED_RESIDENCY,
   ) {}
 
@@ -128,14 +128,14 @@
     const { head } = read.value;
     // A job may have ended in the store while its zone was cut off, with results told there.
     if (head.replicas === undefined || head.listed >= head.total) return true;
-    return (await journals.sightOf(job, head.replicas)) === 'not-held';
+    return (await journals.entryStatus(job, head.replicas)) === 'not-held';
   }
 
   /** Whether there is surely no such job, now that the store knows of none. */
   async isSurelyAbsent(job: string): Promise<boolean> {
     const { journals } = this;
     if (journals === undefined) return true;
-    if ((await journals.sightAnywhere(job)) !== 'not-held') return false;
+    if ((await journals.entryStatusInAllZones(job)) !== 'not-held') return false;
     // What left a journal meanwhile is in the store.
     return (await this.store.head(job)).kind === 'absent';
   }
@@ -147,7 +147,7 @@
     const read = await this.store.specification(job);
     if (read.kind === 'absent' && !(await this.isSurelyAbsent(job))) return { kind: 'unavailable' };
     if (read.kind !== 'found') return read;
-    const mayKeep = this.residency.mayHoldHere(this.residency.allowedFor(read.value));
+    const mayKeep = this.residency.mayHoldHere(this.residency.regionsForSpec(read.value));
     if (mayKeep) keep(this.specifications, job, read.value, KEPT_SPECIFICATIONS);
     return read;
   }
@@ -188,7 +188,7 @@
     const { tenant, total, owner, ended } = read.value.head;
     const runsAt = ended ? null : owner;
     const opened = { tenant, total, owner: runsAt, pages: 0, offset: 0, results: [] };
-    this.keepJob(job, opened, this.residency.allowedOf(read.value.head));
+    this.keepJob(job, opened, this.residency.regionsForOrigin(read.value.head));
     return opened;
   }
 
--- a/src/jobs/job-service.ts
+++ b/src/jobs/job-service.ts
@@ -35,7 +35,7 @@
   /** Which nodes may hold a job. @default all */
   readonly residency?: JobResidency | undefined;
   /** Whether this node takes over what only the zone's journal knows. @default it does not */
-  readonly mayRecover?: () => boolean;
+  readonly canRecover?: () => boolean;
 }
 
 /** An owner whose head was confirmed this recently may say that nothing more is listed. */
@@ -67,7 +67,7 @@
     this.submissions = new JobSubmissions(shared);
     this.admission = new JobAdmission({ ...options, submissions: this.submissions });
     this.handover = new JobHandover(shared);
-    const { journals, isWriterLive = () => true, mayRecover = () => false } = options;
+    const { journals, isWriterLive = () => true, canRecover: mayRecover = () => false } = options;
     if (journals === undefined) return;
     this.recovery = new JournalRecovery({ ...shared, journals, isWriterLive, mayRecover });
   }
@@ -98,17 +98,17 @@
    * Takes over a job whose owner is gone, or answers and does not reach the store; tells whether it
    * is run here now.
    */
-  adopt(job: string, found: VersionedHead, ownerAnswers = false): Promise<boolean> {
+  takeOver(job: string, found: VersionedHead, ownerAnswers = false): Promise<boolean> {
     return this.handover.adopt(job, found, ownerAnswers);
   }
 
   /** Gives up a job that another node has taken over, with what was made of it here. */
-  surrender(job: string, zone?: ZoneName): Map<string, DigestedWork> {
+  releaseTakenOver(job: string, zone?: ZoneName): Map<string, DigestedWork> {
     return this.owned.surrender(job, zone);
   }
 
   /** Whether a job is being taken over here, and so has an owner that does not run it yet. */
-  isAdopting(job: string): boolean {
+  isTakingOver(job: string): boolean {
     return this.handover.isAdopting(job);
   }
 
@@ -124,7 +124,7 @@
   }
 
   /** What this node kept of items, for another node. */
-  keptWorkOf(items: readonly string[], zone?: ZoneName): Map<string, DigestedWork> {
+  cachedWorkOf(items: readonly string[], zone?: ZoneName): Map<string, DigestedWork> {
     return this.owned.keptWorkOf(items, zone);
   }
 
@@ -159,19 +159,19 @@
    * The same for a node that does not reach the store: what is read passes through here, so this node
    * has to be one that may hold it.
    */
-  async readFor(
+  async readForPeer(
     job: string,
     after: number,
     wait: Milliseconds,
     caller: CallerIdentity,
   ): Promise<ResultSlice | Failure> {
     const { residency } = this;
-    if (residency.isLimiting && this.owned.answering(job) === undefined) {
+    if (residency.limitsRegions && this.owned.answering(job) === undefined) {
       const read = await this.options.store.head(job);
       if (read.kind === 'unavailable') return storeSilent();
       // Without a head it is not known where the job may lie: nobody is asked for it.
       if (read.kind === 'absent') return this.absence(job);
-      if (!residency.mayHoldHere(residency.allowedOf(read.value.head))) return NOT_READ_HERE;
+      if (!residency.mayHoldHere(residency.regionsForOrigin(read.value.head))) return NOT_READ_HERE;
     }
     return this.readHere(job, after, wait, caller);
   }
@@ -201,7 +201,7 @@
   }
 
   /** The body of one item. */
-  async body(job: string, item: string, caller: CallerIdentity): Promise<Buffer | Failure> {
+  async itemBody(job: string, item: string, caller: CallerIdentity): Promise<Buffer | Failure> {
     const own = this.owned.get(job);
     if (own === undefined) {
       const told = await this.options.peers.bodyAtOwner(job, item);
@@ -222,7 +222,7 @@
   }
 
   /** The body of an item of a job that this node runs or ran, for another node. */
-  ownBody(job: string, item: string): PeerAnswers['item-body'] {
+  ownItemBody(job: string, item: string): PeerAnswers['item-body'] {
     const own = this.owned.get(job);
     if (own === undefined) return { isOwner: false };
     const body = own.spec.items.find((entry) => entry.id === item)?.body;
@@ -230,30 +230,30 @@
   }
 
   /** Takes a job over that another node found without an owner; tells whether it is run here. */
-  async adoptFrom(job: string, owner: JobOwner, ownerAnswers: boolean): Promise<boolean> {
+  async takeOverFrom(job: string, owner: JobOwner, ownerAnswers: boolean): Promise<boolean> {
     const read = await this.options.store.head(job);
     if (read.kind !== 'found' || isFinished(read.value.head)) return false;
     const { owner: current } = read.value.head;
     const isTheirs = current?.node === owner.node && current.incarnation === owner.incarnation;
-    return isTheirs && this.adopt(job, read.value, ownerAnswers);
+    return isTheirs && this.takeOver(job, read.value, ownerAnswers);
   }
 
   /** Ends a job; `undefined` means that it has ended. */
-  async end(
+  async cancel(
     job: string,
     caller: CallerIdentity,
     wanted: StillWanted,
   ): Promise<Failure | undefined> {
-    const passedOn = await this.options.peers.endElsewhere(job, caller);
+    const passedOn = await this.options.peers.cancelElsewhere(job, caller);
     if (passedOn !== undefined && passedOn.failure === undefined) {
       this.owned.get(job)?.noteEnded();
       return undefined;
     }
-    return this.endHere(job, caller, wanted);
+    return this.cancelHere(job, caller, wanted);
   }
 
   /** The same by way of the store. */
-  async endHere(
+  async cancelHere(
     job: string,
     caller: CallerIdentity,
     wanted: StillWanted,
@@ -273,7 +273,8 @@
         const { ended: hasEnded, owner, tenant } = read.value.head;
         if (!mayAccess(caller, tenant)) return this.refuse(job, tenant, caller);
         if (hasEnded) return undefined;
-        const isEnded = owner !== null && (await this.options.peers.endAtOwner(owner, job, caller));
+        const isEnded =
+          owner !== null && (await this.options.peers.cancelAtOwner(owner, job, caller));
         if (isEnded) return undefined;
         const ended = { ended: true };
         const change = await this.options.store.replace(job, read.value, ended, wanted);
@@ -286,7 +287,7 @@
 
   private async endAtLikelyOwner(job: string, caller: CallerIdentity): Promise<boolean> {
     const [owner] = this.options.peers.likelyOwners(job);
-    return owner !== undefined && this.options.peers.endAtOwner(owner, job, caller);
+    return owner !== undefined && this.options.peers.cancelAtOwner(owner, job, caller);
   }
 
   /** Another tenant learns nothing, not even that the job is there; only the log tells them apart. */
@@ -322,13 +323,13 @@
     const { items, tenant } = own.spec;
     const total = items.length;
     const { pages, results } = own;
-    const allowedRegions = this.residency.allowedFor(own.spec);
+    const allowedRegions = this.residency.regionsForSpec(own.spec);
     const kept = allowedRegions === undefined ? {} : { allowedRegions };
     return { isOwner: true, tenant, total, pages, results: results.slice(after), ...kept };
   }
 
   /** Ends a job that this node runs; tells whether it has ended. */
-  async endOwn(job: string, caller: CallerIdentity): Promise<boolean> {
+  async cancelOwn(job: string, caller: CallerIdentity): Promise<boolean> {
     const own = this.owned.get(job);
     if (own === undefined || !mayAccess(caller, own.spec.tenant)) return false;
     return own.mayBeEnded ? own.end(() => false) : own.hasEnded;
--- a/src/jobs/job-submissions.ts
+++ b/src/jobs/job-submissions.ts
@@ -104,7 +104,7 @@
     const known = this.underWay.get(spec.id);
     if (known !== undefined) return belongsElsewhere(spec, known.tenant) ?? known.outcome;
     const { residency } = this.options;
-    if (!residency.mayHoldHere(residency.allowedFor(spec))) return NOT_IN_THIS_REGION;
+    if (!residency.mayHoldHere(residency.regionsForSpec(spec))) return NOT_IN_THIS_REGION;
     const submission = this.store(spec, wanted, isFromOutside);
     this.underWay.set(spec.id, { tenant: spec.tenant, outcome: submission });
     return submission.finally(() => this.underWay.delete(spec.id));
@@ -137,7 +137,7 @@
     const startedAt = clock.now();
     const kept = this.keptElsewhere(spec);
     let isJournaled = false;
-    const noted = this.options.residency.noteFor(spec);
+    const noted = this.options.residency.headFieldsFor(spec);
     const head = { ...firstHead(spec, owner, zone, journal), ...noted };
     const creation = store.create(spec, head, () => isJournaled || wanted());
     const mayStart = owner !== null && (isNextStep || journals === undefined);
@@ -186,7 +186,7 @@
     if (claim.kind !== 'held-elsewhere') return claim.kind === 'claimed' ? journal : undefined;
     const { replicas } = journal;
     if (isWriterLive(claim.holder.writer)) return claim.kind;
-    if ((await journals.sightOf(job, replicas)) !== 'not-held') return claim.kind;
+    if ((await journals.entryStatus(job, replicas)) !== 'not-held') return claim.kind;
     const next = journals.open(job, replicas, claim.holder.term + 1);
     const second = await next.claim();
     return second.kind === 'claimed' && second.entries.length === 0 ? next : claim.kind;
@@ -207,7 +207,7 @@
     const fields = { owner: null, ...(term === undefined ? {} : { term }) };
     const change = await store.replace(id, made, fields, () => true);
     log.state('job-passed-to-holder', { job: id, term: term ?? 0, outcome: change.kind });
-    await peers.handOver(id);
+    await peers.offerReleased(id);
   }
 
   /**
@@ -219,7 +219,7 @@
     if (journals === undefined) return true;
     const limit = clock.now() + ZONES_ANSWER_LIMIT;
     for (;;) {
-      const sight = await journals.sightInOtherZones(job);
+      const sight = await journals.entryStatusInOtherZones(job);
       if (sight !== 'unsure') return sight === 'not-held';
       if (!wanted() || clock.now() >= limit) return false;
       await clock.sleep(ZONES_RETRY_PAUSE);
@@ -248,14 +248,14 @@
     });
     const entry = createdEntry(spec, journal);
     while (!isSettled && wanted()) {
-      const outcome = await journal.keep([entry]);
+      const outcome = await journal.append([entry]);
       if (outcome === 'lost') return false;
       if (outcome === 'kept' && !isSettled) {
         this.steps.note(spec);
         owned.keepJournaled(job);
         log.state('job-journaled', { job: spec.id, step: spec.step, items: spec.items.length });
         metrics.count('journaled_changes', { change: entry.kind });
-        peers.needWeights(weightNeedOf(spec));
+        peers.reportWeightNeed(weightNeedOf(spec));
         return true;
       }
       if (outcome === 'kept') await journal.release([entry]);
@@ -304,7 +304,7 @@
     const { owned, peers } = this.options;
     if (early !== undefined) owned.keepEarly(early, head);
     else owned.own(spec, head, [], owned.keptWork(spec, {}, await kept), { journal });
-    peers.needWeights(weightNeedOf(spec));
+    peers.reportWeightNeed(weightNeedOf(spec));
   }
 
   private noteSubmitted(spec: JobSpecification, change: HeadChange, took: Milliseconds): void {
@@ -318,19 +318,19 @@
 
   private handOver(spec: JobSpecification): Promise<void> {
     const { peers, residency } = this.options;
-    return peers.handOver(spec.id, residency.allowedFor(spec));
+    return peers.offerReleased(spec.id, residency.regionsForSpec(spec));
   }
 
   /** What nodes of the zone kept of the items of a later step. */
   private async keptElsewhere(spec: JobSpecification): Promise<ReadonlyMap<string, DigestedWork>> {
     if (spec.step === 0) return new Map();
-    return this.options.peers.keptWork(spec.items.map((item) => item.id));
+    return this.options.peers.cachedWork(spec.items.map((item) => item.id));
   }
 }
 
 /** Whether another node has claimed a job since this one did; a journal that is not there is not lost. */
 async function isLost(journal: JobJournal | undefined): Promise<boolean> {
-  return journal !== undefined && (await journal.keep([])) === 'lost';
+  return journal !== undefined && (await journal.append([])) === 'lost';
 }
 
 const NOT_IN_THIS_REGION = failure('region_unavailable', 'the job may not lie in this region');
--- a/src/jobs/journal-recovery.ts
+++ b/src/jobs/journal-recovery.ts
@@ -58,7 +58,7 @@
   /** Takes over what has no live owner. */
   async look(): Promise<void> {
     const { journals, owned, isWriterLive } = this.options;
-    for (const holder of await journals.unfinished()) {
+    for (const holder of await journals.unsyncedHolders()) {
       if (isWriterLive(holder.writer) || owned.get(holder.job) !== undefined) continue;
       await this.recover(holder);
     }
@@ -71,7 +71,7 @@
     const head = read.kind === 'found' ? read.value.head : undefined;
     // A job that goes on is taken over by its head, with what its journal holds.
     if (head !== undefined && !isFinished(head)) return;
-    const journal = journals.open(holder.job, journals.ownReplicas(), holder.term + 1);
+    const journal = journals.open(holder.job, journals.replicasInOwnZone(), holder.term + 1);
     const claim = await journal.claim();
     if (claim.kind !== 'claimed') return;
     if (read.kind === 'found') await this.completeListing(journal, claim.entries, read.value);
@@ -86,7 +86,7 @@
   ): Promise<void> {
     const { store, journals, log } = this.options;
     const { replicas = [], pages: stored } = found.head;
-    const own = new Set(journals.ownReplicas().map(({ disk }) => disk));
+    const own = new Set(journals.replicasInOwnZone().map(({ disk }) => disk));
     // Entries of a journal that is not the job's were never its results.
     const isOfJob = replicas.some(({ disk }) => own.has(disk));
     const changes = isOfJob ? changesBeyond(entries, stored) : [];
@@ -111,7 +111,7 @@
       ...{ owner: self, zone: journals.zone, total: items.length, listed: 0, pages: 0 },
       ...{ ended: false, submittedAt, term: journal.term, replicas },
       ...(tenant === undefined ? {} : { tenant }),
-      ...this.options.residency.noteFor(spec),
+      ...this.options.residency.headFieldsFor(spec),
     };
     const change = await store.create(spec, head, () => false);
     if (change.kind !== 'changed') return;
@@ -122,7 +122,7 @@
       resumed,
     });
     await journal.release([created]);
-    peers.needWeights(weightNeedOf(spec));
+    peers.reportWeightNeed(weightNeedOf(spec));
     log.state('job-recovered', { job: spec.id, step: spec.step, journaled: resumed.length });
     metrics.count('jobs_adopted', { cause: 'journal' });
   }
--- a/src/jobs/listing-writer.ts
+++ b/src/jobs/listing-writer.ts
@@ -112,7 +112,7 @@
 
   /** Whether the zone's journal shows that no other node runs the job. */
   async isConfirmedByJournal(): Promise<boolean> {
-    return (await this.options.journal?.keep([])) === 'kept';
+    return (await this.options.journal?.append([])) === 'kept';
   }
 
   private write(change: ListingChange): Promise<boolean> {
@@ -139,7 +139,7 @@
     if (journal === undefined) return;
     await clock.sleep(JOURNAL_DELAY);
     while (!queued.isSettled && !this.isEnded) {
-      const outcome = await journal.keep([queued.change]);
+      const outcome = await journal.append([queued.change]);
       if (outcome === 'lost') return;
       if (outcome === 'kept' && queued.isSettled) {
         // The store was quicker after all.
--- a/src/jobs/owned-jobs.ts
+++ b/src/jobs/owned-jobs.ts
@@ -123,9 +123,9 @@
 
   /** Forgets closed jobs that a changed configuration no longer lets lie here. */
   forgetMisplaced(): void {
-    if (!this.residency.isLimiting) return;
+    if (!this.residency.limitsRegions) return;
     for (const job of this.all()) {
-      const mayStay = this.residency.mayHoldHere(this.residency.allowedFor(job.spec));
+      const mayStay = this.residency.mayHoldHere(this.residency.regionsForSpec(job.spec));
       if (!job.isActive && !mayStay) this.jobs.delete(job.spec.id);
     }
   }
@@ -133,7 +133,7 @@
   /** What this node kept of items, for a node of a zone that may hold it. */
   keptWorkOf(items: readonly string[], zone: ZoneName | undefined): Map<string, DigestedWork> {
     const mayTell = (origin: JobOrigin): boolean =>
-      this.residency.mayHoldIn(zone, this.residency.allowedOf(origin));
+      this.residency.mayHoldIn(zone, this.residency.regionsForOrigin(origin));
     const work = new Map<string, DigestedWork>();
     for (const id of items) {
       const kept = this.kept.findById(id, mayTell);
@@ -166,7 +166,7 @@
     const job = this.jobs.get(id);
     const work = new Map<string, DigestedWork>();
     if (job === undefined) return work;
-    if (!this.residency.mayHoldIn(zone, this.residency.allowedFor(job.spec))) {
+    if (!this.residency.mayHoldIn(zone, this.residency.regionsForSpec(job.spec))) {
       job.abandon();
       return work;
     }
@@ -208,7 +208,7 @@
   }
 
   private noteClosed(job: OwnedJob): void {
-    const mayKeep = this.residency.mayHoldHere(this.residency.allowedFor(job.spec));
+    const mayKeep = this.residency.mayHoldHere(this.residency.regionsForSpec(job.spec));
     if (job.hasEnded && mayKeep) this.kept.keep(job, this.residency.originOf(job.spec));
     const { clock, log, metrics } = this.options;
     metrics.count('jobs_closed', { reason: job.ending ?? 'open' });
--- a/src/jobs/placement-round.ts
+++ b/src/jobs/placement-round.ts
@@ -38,7 +38,7 @@
     private readonly rules: SendRules = new SendRules(),
   ) {
     this.median = medianPace(workers);
-    this.free = workers.filter((worker) => worker.hasRoom(now));
+    this.free = workers.filter((worker) => worker.hasFreeSlot(now));
     const isLarge = this.free.length > MOST_COMPARED;
     this.cursor = isLarge ? Math.floor(Math.random() * this.free.length) : 0;
   }
@@ -89,7 +89,7 @@
     const shared = free.find((worker) => worker.record.id === sharedPromptWorker);
     if (shared !== undefined && this.mayTake(shared, needs)) found.push(shared);
     this.cursor = (cursor + found.length) % free.length;
-    if (passedOver > MOST_PASSED_OVER) this.free = free.filter((one) => one.hasRoom(this.now));
+    if (passedOver > MOST_PASSED_OVER) this.free = free.filter((one) => one.hasFreeSlot(this.now));
     return found;
   }
 }
--- a/src/jobs/run-mover.ts
+++ b/src/jobs/run-mover.ts
@@ -24,7 +24,7 @@
 /** Options of {@link RunMover}. */
 export type RunMoverOptions = Pick<
   ItemDispatcherOptions,
-  'registry' | 'clock' | 'log' | 'metrics' | 'wayCost' | 'routes'
+  'registry' | 'clock' | 'log' | 'metrics' | 'distanceCost' | 'routes'
 >;
 
 /** Looks at all runs of a node and moves those that should go on elsewhere. */
@@ -55,7 +55,7 @@
     cause: MoveCause,
     median: Milliseconds,
   ): void {
-    const { registry, clock, log, metrics, wayCost } = this.options;
+    const { registry, clock, log, metrics, distanceCost: wayCost } = this.options;
     const now = clock.now();
     const { worker: from } = run;
     const others = registry
--- a/src/journal/job-journal.ts
+++ b/src/journal/job-journal.ts
@@ -94,12 +94,12 @@
   }
 
   /** Its replicas stand where nothing more of the job may be kept: only the store takes changes. */
-  takeNoEntries(): void {
+  disableAppends(): void {
     this.takesEntries = false;
   }
 
   /** Has all replicas keep entries; without any: whether this owner could still write. */
-  async keep(entries: readonly JournalEntry[]): Promise<AppendOutcome> {
+  async append(entries: readonly JournalEntry[]): Promise<AppendOutcome> {
     const { holder } = this.options;
     if (this.isLost) return 'lost';
     if (entries.length > 0 && !this.takesEntries) return 'unsure';
@@ -131,7 +131,7 @@
     return Promise.all(
       replicas.map(async ({ address, disk }) => {
         const request = question(disk);
-        const outcome = (await port.ask(address, request, ANSWER_LIMIT)) as PeerOutcome<
+        const outcome = (await port.request(address, request, ANSWER_LIMIT)) as PeerOutcome<
           'journal-claim' | 'journal-append' | 'journal-release'
         >;
         const answer = outcome.kind === 'answered' ? outcome.answer : undefined;
--- a/src/journal/replica-directory.ts
+++ b/src/journal/replica-directory.ts
@@ -52,7 +52,7 @@
   constructor(private readonly options: ReplicaDirectoryOptions) {}
 
   /** Takes in a change under the prefix of the fleet. */
-  take({ key, value }: StoreChange): void {
+  applyChange({ key, value }: StoreChange): void {
     if (key.startsWith(JOURNAL_ZONE_PREFIX)) this.zones.add(key.slice(JOURNAL_ZONE_PREFIX.length));
     if (!key.startsWith(REPLICA_PREFIX)) return;
     const node = key.slice(REPLICA_PREFIX.length);
--- a/src/journal/replica-registration.ts
+++ b/src/journal/replica-registration.ts
@@ -47,7 +47,7 @@
   /** Takes the record away: the replica is about to leave. */
   async stop(): Promise<void> {
     this.isStopped = true;
-    if (this.lease !== NO_LEASE) await this.options.store.endLease(this.lease);
+    if (this.lease !== NO_LEASE) await this.options.store.revokeLease(this.lease);
   }
 
   private async register(): Promise<boolean> {
@@ -67,7 +67,7 @@
   }
 
   private async renew(): Promise<boolean> {
-    const outcome = await this.options.store.keepLease(this.lease);
+    const outcome = await this.options.store.renewLease(this.lease);
     if (outcome.kind === 'kept') return true;
     if (outcome.kind === 'gone') {
       this.options.log.state('replica-lapsed', {});
--- a/src/journal/zone-journals.ts
+++ b/src/journal/zone-journals.ts
@@ -68,7 +68,7 @@
   }
 
   /** Whether the replicas of a job hold entries of it that the store may lack. */
-  async sightOf(job: string, replicas: readonly ReplicaLocation[]): Promise<EntryStatus> {
+  async entryStatus(job: string, replicas: readonly ReplicaLocation[]): Promise<EntryStatus> {
     const answers = await Promise.all(replicas.map((replica) => this.look(job, replica)));
     if (answers.includes('held')) return 'held';
     return answers.includes('not-held') ? 'not-held' : 'unsure';
@@ -78,12 +78,12 @@
    * Whether the journal of any zone holds entries of a job that the store does not know. Surely not
    * only where replicas of each zone that has any say so.
    */
-  sightAnywhere(job: string): Promise<EntryStatus> {
+  entryStatusInAllZones(job: string): Promise<EntryStatus> {
     return this.sightIn([...this.options.directory.byZone().values()], job);
   }
 
   /** The same without this zone, whose journal this node has claimed. */
-  sightInOtherZones(job: string): Promise<EntryStatus> {
+  entryStatusInOtherZones(job: string): Promise<EntryStatus> {
     const zones = new Map(this.options.directory.byZone());
     zones.delete(this.options.zone);
     return this.sightIn([...zones.values()], job);
@@ -106,11 +106,11 @@
   }
 
   /** Holders of jobs in this zone's journal that the store may not know, with their replicas. */
-  async unfinished(): Promise<readonly JournalHolder[]> {
+  async unsyncedHolders(): Promise<readonly JournalHolder[]> {
     const replicas = this.options.directory.byZone().get(this.options.zone) ?? [];
     const answers = await Promise.all(
       replicas.map(({ address }) =>
-        this.options.port.ask<'journal-list'>(address, { kind: 'journal-list' }, LOOK_LIMIT),
+        this.options.port.request<'journal-list'>(address, { kind: 'journal-list' }, LOOK_LIMIT),
       ),
     );
     const holders = new Map<string, JournalHolder>();
@@ -129,7 +129,7 @@
     const replica = this.options.directory.replicaOn(node);
     if (replica === undefined) return false;
     const request = { kind: 'journal-list' } as const;
-    const outcome = await this.options.port.ask<'journal-list'>(
+    const outcome = await this.options.port.request<'journal-list'>(
       replica.address,
       request,
       LOOK_LIMIT,
@@ -138,13 +138,13 @@
   }
 
   /** The replicas of this zone, for jobs whose own are not known. */
-  ownReplicas(): readonly ReplicaLocation[] {
+  replicasInOwnZone(): readonly ReplicaLocation[] {
     return this.options.directory.byZone().get(this.options.zone) ?? [];
   }
 
   private async look(job: string, { address, disk }: ReplicaLocation): Promise<EntryStatus> {
     const request = { kind: 'journal-look', job } as const;
-    const outcome = await this.options.port.ask<'journal-look'>(address, request, LOOK_LIMIT);
+    const outcome = await this.options.port.request<'journal-look'>(address, request, LOOK_LIMIT);
     if (outcome.kind !== 'answered') return 'unsure';
     if (outcome.answer.holdsEntries) return 'held';
     return outcome.answer.disk === disk ? 'not-held' : 'unsure';
--- a/src/peers/peer-client.ts
+++ b/src/peers/peer-client.ts
@@ -19,7 +19,7 @@
   private readonly agent = new KeptConnections();
   private readonly unsupported = new UnsupportedKinds();
 
-  ask<Kind extends PeerRequest['kind']>(
+  request<Kind extends PeerRequest['kind']>(
     address: string,
     request: PeerRequestOf<Kind>,
     limit: Milliseconds,
--- a/src/peers/peer-messages.ts
+++ b/src/peers/peer-messages.ts
@@ -187,7 +187,7 @@
 
 /** Asks other nodes. */
 export interface PeerPort {
-  ask<Kind extends PeerRequest['kind']>(
+  request<Kind extends PeerRequest['kind']>(
     address: string,
     request: PeerRequestOf<Kind>,
     limit: Milliseconds,
--- a/src/placement/cold-worker-rule.ts
+++ b/src/placement/cold-worker-rule.ts
@@ -31,8 +31,8 @@
   readonly warmth: WorkerWarmth;
   /** What workers of a service bear while cold; `undefined` where they are never cold. */
   readonly coldStartOf: (service: ServiceName) => ColdStart | undefined;
-  /** Permits are wanted; {@link ColdWorkerRule.takeWishes} tells which. */
-  readonly wanted: () => void;
+  /** Permits are wanted; {@link ColdWorkerRule.takeRequests} tells which. */
+  readonly onPermitsNeeded: () => void;
   readonly metrics: FleetMetrics;
 }
 
@@ -53,7 +53,7 @@
 
   constructor(private readonly options: ColdWorkerRuleOptions) {}
 
-  obstacleTo(worker: WorkerRecord): SendRejection | undefined {
+  rejectionOf(worker: WorkerRecord): SendRejection | undefined {
     if (!this.needsPermit(worker)) return undefined;
     if (this.inHand(workerIncarnationOf(worker)) !== undefined) return undefined;
     this.wish(worker);
@@ -69,12 +69,12 @@
   }
 
   /** Whether there is something to ask the granter. */
-  get hasWishes(): boolean {
+  get hasRequests(): boolean {
     return this.wishedFor.size > 0;
   }
 
   /** What to ask the granter now; a wish is told once. */
-  takeWishes(): PermitRequest[] {
+  takeRequests(): PermitRequest[] {
     const { warmth, metrics } = this.options;
     const wishes = [...this.wishedFor.values()].slice(0, MOST_WISHES).map((worker) => ({
       worker: worker.id,
@@ -91,7 +91,7 @@
    * Takes in the answer to a question that was sent at `sentAt` by {@link suspendAwareTime}; tells whether any
    * worker may be sent something that it might not before. A granter that another has followed may not know it.
    */
-  takeAnswer(
+  applyAnswer(
     { term, grants }: PermitAnswer,
     sentAt: Milliseconds,
     workerOf: (id: string) => WorkerRecord | undefined,
@@ -165,6 +165,6 @@
     if (this.options.clock.now() < (this.pausedUntil.get(life) ?? 0)) return;
     this.pausedUntil.delete(life);
     this.wishedFor.set(life, worker);
-    this.options.wanted();
+    this.options.onPermitsNeeded();
   }
 }
--- a/src/placement/guarded-engine.ts
+++ b/src/placement/guarded-engine.ts
@@ -16,16 +16,16 @@
 export class GuardedEngine implements EnginePort {
   readonly order: EnginePort['order'];
   readonly report: EnginePort['report'];
-  readonly standingOf: EnginePort['standingOf'];
-  readonly coldTimeOf: EnginePort['coldTimeOf'];
+  readonly probeLiveness: EnginePort['probeLiveness'];
+  readonly probeColdTime: EnginePort['probeColdTime'];
   readonly forget: EnginePort['forget'];
 
   constructor(private readonly options: GuardedEngineOptions) {
     const { engine } = options;
     this.order = engine.order.bind(engine);
     this.report = engine.report.bind(engine);
-    this.standingOf = engine.standingOf.bind(engine);
-    this.coldTimeOf = engine.coldTimeOf.bind(engine);
+    this.probeLiveness = engine.probeLiveness.bind(engine);
+    this.probeColdTime = engine.probeColdTime.bind(engine);
     this.forget = engine.forget.bind(engine);
   }
 
--- a/src/placement/job-residency.ts
+++ b/src/placement/job-residency.ts
@@ -52,20 +52,20 @@
   constructor(private readonly options: JobResidencyOptions) {}
 
   /** Whether the configuration in force limits any work to regions. */
-  get isLimiting(): boolean {
+  get limitsRegions(): boolean {
     return this.options.routes()?.limitsRegions ?? false;
   }
 
   /** Where a job may lie, as it was submitted. */
-  allowedFor(spec: SubmittedRequests): AllowedRegions {
-    return this.isLimiting ? this.allowedOf(this.originOf(spec)) : undefined;
+  regionsForSpec(spec: SubmittedRequests): AllowedRegions {
+    return this.limitsRegions ? this.regionsForOrigin(this.originOf(spec)) : undefined;
   }
 
   /**
    * Where a job may lie by what was noted of it. What no route speaks for any more, or was never
    * noted, stays in the region that it was taken in.
    */
-  allowedOf({ tenant, requests, zone }: JobOrigin): AllowedRegions {
+  regionsForOrigin({ tenant, requests, zone }: JobOrigin): AllowedRegions {
     const routes = this.options.routes();
     if (routes === undefined || !routes.limitsRegions) return undefined;
     const regionTakenIn = this.regionAlone(zone);
@@ -84,7 +84,7 @@
   }
 
   /** What a job's head notes, beside its tenant and zone; only fleets that span regions need it. */
-  noteFor(spec: SubmittedRequests): { readonly requests?: RoutedRequest[] } {
+  headFieldsFor(spec: SubmittedRequests): { readonly requests?: RoutedRequest[] } {
     return this.options.topology.spansRegions ? { requests: this.requestsByRoute(spec) } : {};
   }
 
@@ -115,7 +115,7 @@
   }
 
   /** Which nodes may hold what is allowed in these regions. */
-  holders(allowed: AllowedRegions): MayHold {
+  holderFilter(allowed: AllowedRegions): MayHold {
     return (node) => this.mayHold(node, allowed);
   }
 
--- a/src/placement/permit-granter.ts
+++ b/src/placement/permit-granter.ts
@@ -32,7 +32,7 @@
   /** What workers of a service bear while cold; `undefined` where they are never cold. */
   readonly coldStartOf: (service: ServiceName) => ColdStart | undefined;
   /** Has a doubtful worker that somebody would send work to asked whether it is cold. */
-  readonly look: (worker: WorkerRecord) => void;
+  readonly probe: (worker: WorkerRecord) => void;
 }
 
 /** Whether this node grants permits: not at all, not yet, or now. */
@@ -77,12 +77,12 @@
   }
 
   private grant(wish: PermitRequest, mayGrant: boolean): PermitGrant | undefined {
-    const { clock, warmth, tolerance, workerOf, coldStartOf, look } = this.options;
+    const { clock, warmth, tolerance, workerOf, coldStartOf, probe: look } = this.options;
     const record = workerOf(wish.worker);
     if (record === undefined || workerIncarnationOf(record) !== wish.life) return undefined;
     const coldStart = coldStartOf(record.service);
     if (coldStart === undefined) return undefined;
-    if (wish.doubtAge !== undefined) warmth.doubt(record, wish.doubtAge);
+    if (wish.doubtAge !== undefined) warmth.markUnconfirmed(record, wish.doubtAge);
     const state = warmth.of(record, coldStart);
     if (state.kind === 'doubtful' && wish.permits > 0) look(record);
     const { worker, life } = wish;
--- a/src/placement/residency-rule.ts
+++ b/src/placement/residency-rule.ts
@@ -8,7 +8,7 @@
 export class ResidencyRule implements SendRule {
   constructor(private readonly topology: Pick<ZoneTopology, 'regionOf'>) {}
 
-  obstacleTo(worker: WorkerRecord, allowed: AllowedRegions): SendRejection | undefined {
+  rejectionOf(worker: WorkerRecord, allowed: AllowedRegions): SendRejection | undefined {
     const region = this.topology.regionOf(worker.zone);
     return allowsRegion(allowed, region) ? undefined : 'region-not-allowed';
   }
--- a/src/placement/send-rules.ts
+++ b/src/placement/send-rules.ts
@@ -17,10 +17,10 @@
 /** One reason for which workers are sent nothing. */
 export interface SendRule {
   /** What keeps a worker from being sent work of these regions now; `undefined` where nothing does. */
-  obstacleTo(worker: WorkerRecord, allowed: AllowedRegions): SendRejection | undefined;
+  rejectionOf(worker: WorkerRecord, allowed: AllowedRegions): SendRejection | undefined;
   /**
    * A request is about to go to the worker: uses up what the rule grants. Called in the same turn in
-   * which {@link obstacleTo} found nothing.
+   * which {@link rejectionOf} found nothing.
    */
   noteSent?(worker: WorkerRecord): void;
 }
@@ -30,9 +30,9 @@
   constructor(private readonly rules: readonly SendRule[] = []) {}
 
   /** The first obstacle to sending work to a worker; `undefined` where there is none. */
-  obstacleTo(worker: WorkerRecord, allowed: AllowedRegions): SendRejection | undefined {
+  rejectionOf(worker: WorkerRecord, allowed: AllowedRegions): SendRejection | undefined {
     for (const rule of this.rules) {
-      const obstacle = rule.obstacleTo(worker, allowed);
+      const obstacle = rule.rejectionOf(worker, allowed);
       if (obstacle !== undefined) return obstacle;
     }
     return undefined;
@@ -40,12 +40,12 @@
 
   /** Whether a worker may be sent work of these regions now. */
   mayReceive(worker: WorkerRecord, allowed: AllowedRegions): boolean {
-    return this.obstacleTo(worker, allowed) === undefined;
+    return this.rejectionOf(worker, allowed) === undefined;
   }
 
   /** Lets one request go to a worker, or tells what keeps it from going. */
   admit(worker: WorkerRecord, allowed: AllowedRegions): SendRejection | undefined {
-    const obstacle = this.obstacleTo(worker, allowed);
+    const obstacle = this.rejectionOf(worker, allowed);
     if (obstacle !== undefined) return obstacle;
     for (const rule of this.rules) rule.noteSent?.(worker);
     return undefined;
--- a/src/placement/stale-evacuation-rule.ts
+++ b/src/placement/stale-evacuation-rule.ts
@@ -27,7 +27,7 @@
   constructor(private readonly options: StaleEvacuationRuleOptions) {}
 
   /** Whether what is known is too old to send work on. */
-  get isOutdated(): boolean {
+  get isStale(): boolean {
     if (this.isPastAge) this.tick();
     return this.isPastAge;
   }
@@ -46,7 +46,7 @@
     log.state(isPastAge ? 'evacuations-unknown' : 'evacuations-known', { contactAgeMs });
   }
 
-  obstacleTo(): SendRejection | undefined {
-    return this.isOutdated ? 'evacuations-unknown' : undefined;
+  rejectionOf(): SendRejection | undefined {
+    return this.isStale ? 'evacuations-unknown' : undefined;
   }
 }
--- a/src/placement/worker-warmth.ts
+++ b/src/placement/worker-warmth.ts
@@ -67,14 +67,14 @@
   }
 
   /** Something happened after which a worker may be cold. */
-  doubt(record: WorkerRecord, age: Milliseconds = 0): void {
+  markUnconfirmed(record: WorkerRecord, age: Milliseconds = 0): void {
     const known = this.known(record);
     known.doubtedAt = Math.max(known.doubtedAt, this.clock.now() - age);
     known.isDoubtNews = true;
   }
 
   /** The worker told how long it stays cold, asked at `askedAt`; an earlier doubt is settled by that. */
-  noteTold(record: WorkerRecord, remaining: Milliseconds, askedAt: Milliseconds): void {
+  noteReported(record: WorkerRecord, remaining: Milliseconds, askedAt: Milliseconds): void {
     this.noteLook(record, remaining > 0 ? remaining + COLD_MARGIN : 0, askedAt);
   }
 
--- a/src/placement/zone-evacuations.ts
+++ b/src/placement/zone-evacuations.ts
@@ -29,7 +29,7 @@
     return [...this.zones].sort();
   }
 
-  obstacleTo({ zone }: WorkerRecord): SendRejection | undefined {
+  rejectionOf({ zone }: WorkerRecord): SendRejection | undefined {
     return this.zones.has(zone) ? 'zone-evacuated' : undefined;
   }
 }
--- a/src/serving/active-configuration.ts
+++ b/src/serving/active-configuration.ts
@@ -89,7 +89,7 @@
   }
 
   /** Whether results of some route must come from one weight version each. */
-  get needsWholeVersions(): boolean {
+  get requiresSingleVersion(): boolean {
     return this.matcher?.configuration.routes.some((route) => route.singleVersion) ?? false;
   }
 
--- a/src/serving/answer-sink.ts
+++ b/src/serving/answer-sink.ts
@@ -14,7 +14,7 @@
   /** Ends the answer as complete. */
   end(): void;
   /** Breaks a begun answer off, so that it can't look complete. */
-  breakOff(): void;
+  abort(): void;
   /** Answers with a failure of our own. */
   fail(failure: Failure): void;
 }
@@ -31,11 +31,11 @@
   readonly headers: HeaderList;
   readonly body: Buffer;
   /** Time that the caller will wait from `receivedAt` on; `undefined` where it named none. */
-  readonly patience: number | undefined;
+  readonly timeout: number | undefined;
   /** Steady time at which the request began to arrive. */
   readonly receivedAt: number;
   /** The caller has the events up to this one. */
   readonly lastEventId: number | undefined;
   /** Aborted when the caller is gone. */
-  readonly gone: AbortSignal;
+  readonly disconnectSignal: AbortSignal;
 }
--- a/src/serving/engine-port.ts
+++ b/src/serving/engine-port.ts
@@ -132,12 +132,12 @@
   order(order: WeightOrder): Promise<OrderOutcome>;
   report(worker: WorkerRecord): Promise<EngineReport | undefined>;
   /** Asks over a new connection, by the path at which its service tells its health. */
-  standingOf(worker: WorkerRecord, healthPath: string): Promise<WorkerLiveness>;
+  probeLiveness(worker: WorkerRecord, healthPath: string): Promise<WorkerLiveness>;
   /**
    * Has a worker tell how much longer it stays cold, 0 where it is warm; `undefined` where it does not
    * tell, or another life answers.
    */
-  coldTimeOf(worker: WorkerRecord, healthPath: string): Promise<Milliseconds | undefined>;
+  probeColdTime(worker: WorkerRecord, healthPath: string): Promise<Milliseconds | undefined>;
   /** Closes the connections to a worker that has left. */
   forget(worker: string): void;
 }
--- a/src/serving/forwarded-exchange.ts
+++ b/src/serving/forwarded-exchange.ts
@@ -43,7 +43,7 @@
     service: ServiceName,
     private readonly sink: AnswerSink,
   ) {
-    const patience = Math.min(request.patience ?? Number.POSITIVE_INFINITY, route.timeout);
+    const patience = Math.min(request.timeout ?? Number.POSITIVE_INFINITY, route.timeout);
     this.deadline = request.receivedAt + patience;
     const parts = { ...options, request, route, service };
     this.sender = new WorkerSender({ ...parts, remaining: () => this.remaining() });
@@ -53,7 +53,7 @@
   async perform(): Promise<void> {
     const timer = setTimeout(() => this.expire(), Math.max(0, this.remaining()));
     const leave = (): void => this.sender.cancelAll();
-    this.request.gone.addEventListener('abort', leave);
+    this.request.disconnectSignal.addEventListener('abort', leave);
     try {
       const refusal = this.sender.refusal();
       if (refusal !== undefined) this.fail(refusal);
@@ -61,7 +61,7 @@
       else await this.forwardOnce();
     } finally {
       clearTimeout(timer);
-      this.request.gone.removeEventListener('abort', leave);
+      this.request.disconnectSignal.removeEventListener('abort', leave);
       this.sender.cancelAll();
     }
   }
@@ -77,7 +77,7 @@
   }
 
   private get isOver(): boolean {
-    return this.isAnswered || this.request.gone.aborted || this.timeIsUp.signal.aborted;
+    return this.isAnswered || this.request.disconnectSignal.aborted || this.timeIsUp.signal.aborted;
   }
 
   /** Attempts side by side: the first whole answer wins, the others are cancelled. */
@@ -120,7 +120,7 @@
         });
       };
       this.timeIsUp.signal.addEventListener('abort', finish);
-      this.request.gone.addEventListener('abort', finish);
+      this.request.disconnectSignal.addEventListener('abort', finish);
       startNext();
     });
   }
@@ -186,16 +186,16 @@
         return this.noteAnswered('stream-answered', worker, answer.status);
       }
       current.answer.discard();
-      if (!this.request.gone.aborted) this.sender.noteBrokenOff(current.worker);
+      if (!this.request.disconnectSignal.aborted) this.sender.noteBrokenOff(current.worker);
       current = await this.resumeStream(relay);
     }
-    this.sink.breakOff();
+    this.sink.abort();
     this.noteAnswered('stream-broken-off', worker, answer.status);
   }
 
   private async relayWhole(worker: KnownWorker, answer: EngineAnswer): Promise<void> {
     const body = await readAnswerBody(answer);
-    if (this.request.gone.aborted || this.timeIsUp.signal.aborted) return;
+    if (this.request.disconnectSignal.aborted || this.timeIsUp.signal.aborted) return;
     if (body === undefined) {
       this.isAnswered = false;
       this.sender.mayHaveRun = true;
@@ -208,7 +208,7 @@
   }
 
   private async resumeStream(relay: StreamRelay): Promise<BegunStream | undefined> {
-    while (this.route.resumable && !this.request.gone.aborted && this.remaining() > 0) {
+    while (this.route.resumable && !this.request.disconnectSignal.aborted && this.remaining() > 0) {
       const worker = this.sender.pick();
       if (worker === undefined) return undefined;
       const outcome = await this.sender.send(worker, { lastEventId: relay.lastEventId });
@@ -241,7 +241,7 @@
   }
 
   private fail(reason: Failure): void {
-    if (this.isAnswered || this.request.gone.aborted) return;
+    if (this.isAnswered || this.request.disconnectSignal.aborted) return;
     this.isAnswered = true;
     this.sink.fail(reason);
     this.report.noteFailed(reason, this.sender.attempts);
--- a/src/serving/request-quarantine.ts
+++ b/src/serving/request-quarantine.ts
@@ -53,9 +53,9 @@
 /** Options of {@link RequestQuarantine}. */
 export interface RequestQuarantineOptions {
   /** Asks a worker whose connection broke whether it still lives. */
-  readonly standingOf: (worker: WorkerRecord) => Promise<WorkerLiveness>;
+  readonly probeLiveness: (worker: WorkerRecord) => Promise<WorkerLiveness>;
   /** Tells the other nodes what was at a worker that ended. */
-  readonly report: (report: CrashReport) => void;
+  readonly reportCrash: (report: CrashReport) => void;
   /** Tells the other nodes that a worker answered a request that was reported. */
   readonly reportAcquittal: (request: RequestFingerprint) => void;
   readonly clock: Clock;
@@ -84,13 +84,13 @@
    * it, those count as if they had ended: copies side by side end several workers at once.
    */
   admits(asked: FingerprintedRequest, underWay = 0): boolean {
-    const ended = this.endedUnder(asked).length;
+    const ended = this.crashesUnder(asked).length;
     return ended === 0 || ended + underWay < MAX_CRASHED_WORKERS;
   }
 
   /** Why a request is sent to no worker; `undefined` where it may be sent. */
   refusalOf(asked: FingerprintedRequest): Failure | undefined {
-    const ends = this.endedUnder(asked);
+    const ends = this.crashesUnder(asked);
     if (ends.length < MAX_CRASHED_WORKERS) return undefined;
     const firstToLapse = ends[ends.length - MAX_CRASHED_WORKERS]?.at ?? 0;
     const retryAfter = firstToLapse + EVIDENCE_LIFETIME - this.options.clock.now();
@@ -98,7 +98,7 @@
   }
 
   /** The workers that ended under a request. */
-  endedUnder(asked: FingerprintedRequest): readonly WorkerEnd[] {
+  crashesUnder(asked: FingerprintedRequest): readonly WorkerEnd[] {
     return this.evidence.isEmpty ? [] : this.evidence.endedUnder(asked.fingerprint);
   }
 
@@ -134,19 +134,19 @@
    * it is asked. Where nothing speaks against the request, nobody is asked.
    */
   noteGivenUp(worker: WorkerRecord, asked: FingerprintedRequest): void {
-    if (this.endedUnder(asked).length === 0) return;
+    if (this.crashesUnder(asked).length === 0) return;
     setTimeout(() => void this.lookIntoGivenUp(worker, asked), GIVEN_UP_DELAY);
   }
 
   private async lookIntoGivenUp(worker: WorkerRecord, asked: FingerprintedRequest): Promise<void> {
     const standing = await this.verdictOn(worker);
-    const isSuspect = this.endedUnder(asked).length > 0;
+    const isSuspect = this.crashesUnder(asked).length > 0;
     if (standing === 'ended' && isSuspect) await this.noteBroken(worker, asked, 'any-node');
   }
 
   /** A worker gave a whole answer: the request does not end workers. */
   noteAnswered(asked: FingerprintedRequest): void {
-    const ends = this.endedUnder(asked);
+    const ends = this.crashesUnder(asked);
     if (ends.length === 0) return;
     const request = asked.fingerprint;
     const untold = this.unreported.get(request)?.size ?? 0;
@@ -157,7 +157,7 @@
   }
 
   /** Takes in what another node, or an earlier life of this one, was told by a broken connection. */
-  take(report: CrashReport, at: Milliseconds): void {
+  applyReport(report: CrashReport, at: Milliseconds): void {
     for (const request of report.requests) {
       this.evidence.note(request, { worker: report.worker, at });
       this.announce(request);
@@ -196,7 +196,7 @@
   }
 
   private async askWorker(worker: WorkerRecord): Promise<WorkerLiveness> {
-    const { standingOf, log, metrics, clock } = this.options;
+    const { probeLiveness: standingOf, log, metrics, clock } = this.options;
     const askedAt = clock.now();
     const standing = await standingOf(worker);
     const tookMs = Math.round(clock.now() - askedAt);
@@ -224,7 +224,7 @@
     this.settling.clear();
     for (const [worker, requests] of requestsByWorker) {
       this.options.log.state('worker-ended', { worker, requests: requests.length });
-      this.options.report({ worker, requests });
+      this.options.reportCrash({ worker, requests });
     }
   }
 
--- a/src/serving/traffic-configuration.ts
+++ b/src/serving/traffic-configuration.ts
@@ -77,8 +77,8 @@
 
 /** Within which limits the number of a service's workers may be chosen, in each zone by itself. */
 export interface ScalingLimits {
-  readonly fewest: number;
-  readonly most: number;
+  readonly minimum: number;
+  readonly maximum: number;
   /** Time from an order until a new worker serves. */
   readonly bootTime: Milliseconds;
   /** Price of a second of a worker in each zone, against one another. */
--- a/src/serving/worker-registry.ts
+++ b/src/serving/worker-registry.ts
@@ -46,7 +46,7 @@
   /** Requests under way from this node. */
   inFlight = 0;
   /** Moving mean of the time between two events, or `undefined` before the first. */
-  pace: Milliseconds | undefined;
+  eventInterval: Milliseconds | undefined;
   private penalizedUntil: Milliseconds = 0;
   private failuresInARow = 0;
   private refusalsInARow = 0;
@@ -95,13 +95,13 @@
   }
 
   /** Takes note of the time between two events of a stream. */
-  notePace(sample: Milliseconds): void {
-    if (this.pace === undefined) {
-      this.pace = sample;
+  noteEventInterval(sample: Milliseconds): void {
+    if (this.eventInterval === undefined) {
+      this.eventInterval = sample;
       return;
     }
-    const bounded = Math.min(sample, LARGEST_PACE_STEP * this.pace);
-    this.pace += PACE_SMOOTHING * (bounded - this.pace);
+    const bounded = Math.min(sample, LARGEST_PACE_STEP * this.eventInterval);
+    this.eventInterval += PACE_SMOOTHING * (bounded - this.eventInterval);
   }
 
   /** Whether failures or fullness speak against the worker now. */
@@ -110,7 +110,7 @@
   }
 
   /** Whether one more request from here may go there now. */
-  hasRoom(now: Milliseconds): boolean {
+  hasFreeSlot(now: Milliseconds): boolean {
     if (this.record.draining || this.isPenalized(now)) return false;
     return this.inFlight < this.record.slots;
   }
@@ -211,7 +211,7 @@
   }
 
   /** Workers of a service that may be sent work of these regions now. */
-  receivers(service: ServiceName, allowed: AllowedRegions): KnownWorker[] {
+  eligible(service: ServiceName, allowed: AllowedRegions): KnownWorker[] {
     return this.available(service).filter(({ record }) => this.rules.mayReceive(record, allowed));
   }
 
@@ -220,7 +220,7 @@
     if (allowed === undefined) return false;
     const workers = this.available(service);
     const isOutside = ({ record }: KnownWorker): boolean =>
-      this.rules.obstacleTo(record, allowed) === 'region-not-allowed';
+      this.rules.rejectionOf(record, allowed) === 'region-not-allowed';
     return workers.length > 0 && workers.every(isOutside);
   }
 
@@ -240,18 +240,18 @@
     now: Milliseconds,
     allowed?: AllowedRegions,
   ): KnownWorker | undefined {
-    return this.leastRanked(this.receivers(service, allowed), tried, zone, now);
+    return this.leastRanked(this.eligible(service, allowed), tried, zone, now);
   }
 
   /** The same among the workers of other regions, for work that has to find room and has none in its own. */
-  pickBeyondRegion(
+  pickInOtherRegion(
     service: ServiceName,
     tried: Pick<ReadonlySet<string>, 'has'>,
     zone: ZoneName,
     now: Milliseconds,
     allowed?: AllowedRegions,
   ): KnownWorker | undefined {
-    const beyond = this.receivers(service, allowed).filter(
+    const beyond = this.eligible(service, allowed).filter(
       ({ record }) => this.distanceBetween(zone, record.zone) === 'other-region',
     );
     return this.leastRanked(beyond, tried, zone, now);
--- a/src/serving/worker-sender.ts
+++ b/src/serving/worker-sender.ts
@@ -110,7 +110,7 @@
         host: request.host,
         headers: request.headers,
         body: request.body,
-        remaining: request.patience === undefined ? Math.max(0, remaining()) : remaining(),
+        remaining: request.timeout === undefined ? Math.max(0, remaining()) : remaining(),
         priority: ownPriority ?? route.priority,
         ...(tenant === undefined ? {} : { tenant }),
         ...(resumeAfter === undefined ? {} : { lastEventId: resumeAfter }),
--- a/src/shared-store/metered-store.ts
+++ b/src/shared-store/metered-store.ts
@@ -31,7 +31,7 @@
       metered('watch', () => store.watch(prefix, after, wait, signal)),
     commit: (commit) => metered('commit', () => store.commit(commit)),
     grantLease: (ttl) => metered('grant', () => store.grantLease(ttl)),
-    keepLease: (lease) => metered('keep', () => store.keepLease(lease)),
-    endLease: (lease) => store.endLease(lease),
+    renewLease: (lease) => metered('keep', () => store.renewLease(lease)),
+    revokeLease: (lease) => store.revokeLease(lease),
   };
 }
--- a/src/shared-store/prefix-mirror.ts
+++ b/src/shared-store/prefix-mirror.ts
@@ -42,7 +42,7 @@
   }
 
   /** Takes in a new list. Where it shows what no watch told, followers have to list anew. */
-  takeList({ items, revision }: PrefixSnapshot): void {
+  applyList({ items, revision }: PrefixSnapshot): void {
     if (revision < this.end) return;
     this.lastSnapshot = undefined;
     if (!this.holds(items)) {
@@ -54,7 +54,7 @@
   }
 
   /** Takes in what a watch told that began at `after`; tells whether it goes on where this ends. */
-  takeChanges(after: Revision, changes: readonly StoreChange[], revision: Revision): boolean {
+  applyChanges(after: Revision, changes: readonly StoreChange[], revision: Revision): boolean {
     if (after > this.end) return false;
     this.lastSnapshot = undefined;
     const known = this.end;
--- a/src/shared-store/shared-store.ts
+++ b/src/shared-store/shared-store.ts
@@ -111,6 +111,6 @@
   ): Promise<StoreWatchOutcome>;
   commit(commit: StoreCommit): Promise<StoreCommitOutcome>;
   grantLease(ttl: Milliseconds): Promise<StoreGrantOutcome>;
-  keepLease(lease: LeaseId): Promise<StoreRenewOutcome>;
-  endLease(lease: LeaseId): Promise<void>;
+  renewLease(lease: LeaseId): Promise<StoreRenewOutcome>;
+  revokeLease(lease: LeaseId): Promise<void>;
 }
--- a/src/singleton-tasks/scaling-policy.ts
+++ b/src/singleton-tasks/scaling-policy.ts
@@ -32,7 +32,7 @@
   ): ReadonlyMap<ZoneName, number> {
     const zones = [...limits.zonePrices.keys()];
     const share = Math.floor(MOST_FOLLOWED_WORKERS / Math.max(1, zones.length));
-    if (limits.most <= share) return new Map(zones.map((zone) => [zone, limits.most]));
+    if (limits.maximum <= share) return new Map(zones.map((zone) => [zone, limits.maximum]));
     if (this.clock.now() - this.startedAt < REGISTRATION_TIME) return new Map();
     const growing = zones.filter((zone) => present(zone) < share);
     return new Map(growing.map((zone) => [zone, share]));
--- a/src/singleton-tasks/usage-counts.ts
+++ b/src/singleton-tasks/usage-counts.ts
@@ -25,7 +25,7 @@
   private readonly bySource = new Map<UsageSource, Map<WindowNumber, TenantCounts>>();
 
   /** Takes in the totals that a node told; of two totals of one window the larger is the later. */
-  take(source: UsageSource, counts: WindowCounts): void {
+  merge(source: UsageSource, counts: WindowCounts): void {
     const known = this.bySource.get(source) ?? new Map<WindowNumber, TenantCounts>();
     this.bySource.set(source, known);
     for (const [window, totals] of counts) {
--- a/src/singleton-tasks/usage-reporter.ts
+++ b/src/singleton-tasks/usage-reporter.ts
@@ -116,8 +116,8 @@
     for (const [number, report] of read.reports) this.kept.set(number, report);
     const known = this.kept.get(window);
     if (known !== undefined) return known;
-    for (const told of read.counts) gathered.take(told.source, told.counts);
-    gathered.take(source, meter.totals());
+    for (const told of read.counts) gathered.merge(told.source, told.counts);
+    gathered.merge(source, meter.totals());
     const outcome = await records.keep({ window, counts: gathered.totals(window) }, read.outdated);
     if (outcome.kind !== 'kept') return undefined;
     this.kept.set(window, outcome.report);
@@ -148,7 +148,7 @@
   private async checkpoint(): Promise<void> {
     const { records, gathered, meter, source, clock } = this.options;
     this.nextCheckpointAt = clock.now() + CHECKPOINT_INTERVAL;
-    gathered.take(source, meter.totals());
+    gathered.merge(source, meter.totals());
     const counts = gathered.since(this.oldestWindow);
     const requests = requestsIn(counts);
     if (requests === this.requestsAtCheckpoint) return;
--- a/src/singleton-tasks/usage-sender.ts
+++ b/src/singleton-tasks/usage-sender.ts
@@ -42,7 +42,7 @@
   /** Name of this life of the node. */
   readonly source: UsageSource;
   readonly node: NodeId;
-  readonly duties: () => SingletonTaskHolder;
+  readonly taskHolder: () => SingletonTaskHolder;
   readonly liveNodes: () => number;
   /** Tells another node; whether it took it. */
   readonly tell: (holder: NodeId, source: UsageSource, counts: WindowCounts) => Promise<boolean>;
@@ -71,19 +71,19 @@
    */
   async finish(): Promise<void> {
     clearInterval(this.timer);
-    const { meter, gathered, records, source, node, duties, log } = this.options;
+    const { meter, gathered, records, source, node, taskHolder: duties, log } = this.options;
     if (duties().holder !== node) {
       if (this.told.revision === meter.revision) return;
       if (await this.tellHolder()) return;
     }
-    gathered.take(source, meter.totals());
+    gathered.merge(source, meter.totals());
     const isKept = await records.keepCounts(source, gathered.since(0));
     log.state('usage-counts-left', { isKept });
   }
 
   /** Tells the holder what is new, if there is something and it is time. */
   async look(): Promise<void> {
-    const { meter, clock, duties } = this.options;
+    const { meter, clock, taskHolder: duties } = this.options;
     const { holder, term } = duties();
     const isNew = this.told.revision !== meter.revision || this.told.term !== term;
     if (holder === undefined || !isNew || this.isTelling || clock.now() < this.nextAt) return;
@@ -92,13 +92,13 @@
   }
 
   private async tellHolder(): Promise<boolean> {
-    const { meter, gathered, source, node, duties, tell } = this.options;
+    const { meter, gathered, source, node, taskHolder: duties, tell } = this.options;
     const { holder, term } = duties();
     const { revision } = meter;
     if (holder === undefined) return false;
     this.isTelling = true;
     const counts = meter.totals();
-    if (holder === node) gathered.take(source, counts);
+    if (holder === node) gathered.merge(source, counts);
     const isTaken = holder === node || counts.size === 0 || (await tell(holder, source, counts));
     this.isTelling = false;
     if (isTaken) this.told = { revision, term };
--- a/test/fleet/cold-workers.test.ts
+++ b/test/fleet/cold-workers.test.ts
@@ -69,7 +69,7 @@
   }
 
   isFree(record: WorkerRecord): boolean {
-    return this.part.rule.obstacleTo(record) === undefined;
+    return this.part.rule.rejectionOf(record) === undefined;
   }
 
   /** It coordinates, and has for long. */
--- a/test/fleet/coordinator-lock.test.ts
+++ b/test/fleet/coordinator-lock.test.ts
@@ -9,7 +9,7 @@
 import { recordingLog } from '../serving/serving-fixtures.js';
 import { eventually } from './fleet-fixtures.js';
 
-const SILENT_PEERS: PeerPort = { ask: async () => ({ kind: 'silent' }) };
+const SILENT_PEERS: PeerPort = { request: async () => ({ kind: 'silent' }) };
 
 interface Contender {
   readonly fleet: FleetRegistry;
@@ -50,7 +50,7 @@
   };
   const kill = (): void => {
     clearInterval(ticker);
-    store.endLease = async () => {};
+    store.revokeLease = async () => {};
     void fleet.stop();
   };
   return { fleet, lock, stop, rest: () => clearInterval(ticker), kill };
@@ -217,7 +217,7 @@
 /** Peers through which a holder is asked to resign. */
 function resigning(holder: () => CoordinatorLock): PeerPort {
   return {
-    ask: async () => {
+    request: async () => {
       const answer = { lastOrderAge: holder().resign() };
       return { kind: 'answered', answer } as unknown as PeerOutcome<never>;
     },
@@ -274,7 +274,7 @@
     resigning(() => one.lock),
   );
   await eventually(() => two.lock.holder === 'node-1');
-  await two.lock.takeFrom(OWNER);
+  await two.lock.takeOverFrom(OWNER);
   await eventually(() => two.lock.fencingToken() !== undefined);
   t.equal(one.lock.fencingToken(), undefined);
   await one.stop();
@@ -287,7 +287,7 @@
   await eventually(() => one.lock.fencingToken() !== undefined);
   const two = contender(store, OTHER, 0);
   await eventually(() => two.lock.holder === 'node-1');
-  await two.lock.takeFrom(OWNER);
+  await two.lock.takeOverFrom(OWNER);
   await PROCESS_CLOCK.sleep(100);
   t.equal(two.lock.holder, 'node-1');
   t.not(one.lock.fencingToken(), undefined);
@@ -299,11 +299,11 @@
   const store = new SharedStoreEmulator();
   const one = contender(store, OWNER, 0);
   await eventually(() => one.lock.fencingToken() !== undefined);
-  const refusing: PeerPort = { ask: async () => ({ kind: 'refused' }) };
+  const refusing: PeerPort = { request: async () => ({ kind: 'refused' }) };
   const two = contender(store, OTHER, 0, true, refusing);
   await eventually(() => two.lock.holder === 'node-1');
   one.kill();
-  await two.lock.takeFrom(OWNER);
+  await two.lock.takeOverFrom(OWNER);
   await eventually(() => two.lock.fencingToken() !== undefined);
   t.pass('before the lease of the one before is over');
   await two.stop();
--- a/test/fleet/evacuation-fleet.ts
+++ b/test/fleet/evacuation-fleet.ts
@@ -41,10 +41,10 @@
   async report(): Promise<undefined> {
     return undefined;
   }
-  async coldTimeOf(): Promise<undefined> {
+  async probeColdTime(): Promise<undefined> {
     return undefined;
   }
-  async standingOf(): Promise<'lives'> {
+  async probeLiveness(): Promise<'lives'> {
     return 'lives';
   }
   forget(): void {}
@@ -109,7 +109,7 @@
 
 /** The zones whose workers a gateway would send a lookup to. */
 export function receivingZones({ node }: JoinedGateway): ZoneName[] {
-  const receivers = node.registry.receivers(LOOKUP_SERVICE, undefined);
+  const receivers = node.registry.eligible(LOOKUP_SERVICE, undefined);
   return [...new Set(receivers.map(({ record }) => record.zone))].sort();
 }
 
--- a/test/fleet/fleet-fixtures.ts
+++ b/test/fleet/fleet-fixtures.ts
@@ -21,7 +21,7 @@
   readonly otherLives = new Set<string>();
   readonly asked: { readonly address: string; readonly request: PeerRequest }[] = [];
 
-  async ask<Kind extends PeerRequest['kind']>(
+  async request<Kind extends PeerRequest['kind']>(
     address: string,
     request: PeerRequest,
   ): Promise<PeerOutcome<Kind>> {
--- a/test/fleet/fleet-peers.test.ts
+++ b/test/fleet/fleet-peers.test.ts
@@ -27,13 +27,13 @@
 
 /** `jobId` names the job of which {@link Fixture.owners} tells. */
 function fixture(
-  isCutOff: boolean,
+  isStoreUnreachable: boolean,
   answerOf: (address: string, request: PeerRequest) => unknown,
   jobId = 'job',
 ): Fixture {
   const asked: { address: string; kind: string }[] = [];
   const port: PeerPort = {
-    async ask<Kind extends PeerRequest['kind']>(address: string, request: PeerRequest) {
+    async request<Kind extends PeerRequest['kind']>(address: string, request: PeerRequest) {
       asked.push({ address, kind: request.kind });
       const answer = await answerOf(address, request);
       const isMissing = answer === 'silent' || answer === 'refused';
@@ -42,13 +42,13 @@
     },
   };
   const fleet = {
-    isCutOff,
-    hasDuties: true,
+    isStoreUnreachable: isStoreUnreachable,
+    requiresShortLease: true,
     isLive: () => true,
     liveNodes: () => Object.keys(ZONES),
     zoneOf: (node: string) => ZONES[node],
     addressOf: (node: string) => node,
-    ownerOf: (node: string) => ({ node, incarnation: 'life', address: node }),
+    incarnationOf: (node: string) => ({ node, incarnation: 'life', address: node }),
   } as unknown as FleetRegistry;
   const unused = (): never => {
     throw new Error('not used');
@@ -62,23 +62,23 @@
     ...{ port, fleet, placement, self: OWNER, zone: 'zone-1', clock: PROCESS_CLOCK },
     metrics: new FleetMetrics(),
     lock: unused,
-    takesJobsAlone: () => false,
-    weightChanged: () => {},
-    weightsNeeded: unused,
+    acceptsJobsWithoutStore: () => false,
+    onWeightChanged: () => {},
+    onWeightsNeeded: unused,
   };
   const peers = new FleetPeers(shared);
   const answering = new PeerRequestHandler({
     ...shared,
     jobs: () => JOBS as unknown as JobService,
     relay: unused,
-    usageTold: () => t.fail('nobody told usage'),
+    onUsageReported: () => t.fail('nobody told usage'),
     permits: unused,
-    workerEnded: unused,
+    onWorkerCrashed: unused,
   });
   return { peers, answering, asked, owners: placement.ownersOf(jobId) };
 }
 
-const JOBS = { endOwn: async () => true, submitHere: async () => undefined };
+const JOBS = { cancelOwn: async () => true, submitHere: async () => undefined };
 const HERE = { kind: 'here', mayRunElsewhere: false };
 
 /** A job that other nodes than `node-1` are to run first, in this order. */
@@ -137,7 +137,7 @@
 t.test('a node that reaches the store asks nobody', async (t) => {
   const { peers, asked } = fixture(false, reaching);
   t.equal(await peers.readElsewhere('job', 0, 0, UNRESTRICTED), undefined);
-  t.equal(await peers.endElsewhere('job', UNRESTRICTED), undefined);
+  t.equal(await peers.cancelElsewhere('job', UNRESTRICTED), undefined);
   t.same(asked, []);
 });
 
@@ -145,7 +145,7 @@
   const { peers } = fixture(true, reaching);
   const path = await peers.submitElsewhere(specification('job', 1));
   t.same(path, { kind: 'answered', failure: undefined });
-  t.match(await peers.endElsewhere('job', UNRESTRICTED), { at: 'near' });
+  t.match(await peers.cancelElsewhere('job', UNRESTRICTED), { at: 'near' });
   const farOnly = fixture(true, (address, request) =>
     request.kind === 'probe'
       ? { isAlive: true, reachesStore: address === 'far' }
--- a/test/fleet/fleet-registry.test.ts
+++ b/test/fleet/fleet-registry.test.ts
@@ -19,7 +19,7 @@
   const store = new SharedStoreEmulator();
   const fleet = registry(store);
   const departures: NodeTermination[] = [];
-  fleet.departures.subscribe((departure) => departures.push(departure));
+  fleet.terminations.subscribe((departure) => departures.push(departure));
   fleet.start();
   await eventually(() => fleet.isLive(OWNER));
   store.write('fleet/node/node-2', record('life-2'));
@@ -49,7 +49,7 @@
   await eventually(() => !fleet.isLive(OWNER));
   await eventually(() => fleet.isLive(OWNER));
   t.not(fleet.leaseId, first);
-  t.ok(fleet.wasSilentWithin(60_000), 'the gap is told as a silence of the store');
+  t.ok(fleet.wasStoreUnreachableWithin(60_000), 'the gap is told as a silence of the store');
   await fleet.stop();
 });
 
@@ -70,11 +70,11 @@
     const fleet = registry(store);
     void fleet.start();
     await eventually(() => fleet.isLive(OWNER));
-    t.notOk(fleet.hasPromptLease);
+    t.notOk(fleet.hasShortLease);
     await PROCESS_CLOCK.sleep(1_000);
     t.equal(store.calls.get('keep') ?? 0, 0, 'one renewal each 2.5 s');
-    fleet.takeDuties();
-    await eventually(() => fleet.hasPromptLease);
+    fleet.requireShortLease();
+    await eventually(() => fleet.hasShortLease);
     await eventually(() => (store.calls.get('keep') ?? 0) >= 2);
     t.ok(fleet.isLive(OWNER), 'the same life goes on');
     await fleet.stop();
@@ -89,11 +89,11 @@
   await PROCESS_CLOCK.sleep(400);
   store.setAvailability('refusing');
   const startedAt = performance.now();
-  fleet.renewSoon();
-  await eventually(() => fleet.isCutOff);
+  fleet.renewLeaseSoon();
+  await eventually(() => fleet.isStoreUnreachable);
   t.ok(performance.now() - startedAt < 1_000);
   store.setAvailability('up');
-  await eventually(() => !fleet.isCutOff);
+  await eventually(() => !fleet.isStoreUnreachable);
   await fleet.stop();
 });
 
--- a/test/fleet/job-placement.test.ts
+++ b/test/fleet/job-placement.test.ts
@@ -50,7 +50,7 @@
 t.test('a node that did not answer is left alone for a while', async (t) => {
   const { placed, clock } = placement(NAMES);
   const [owner] = placed.ownersOf('job');
-  placed.noteSilent(owner ?? '');
+  placed.noteUnresponsive(owner ?? '');
   t.notOk(placed.ownersOf('job').includes(owner ?? ''));
   clock.time += 10_000;
   t.equal(placed.ownersOf('job')[0], owner);
@@ -87,7 +87,7 @@
   const isStrong = (node: string): boolean => Number(node.split('-')[1]) < 6;
   const { placed, clock } = zonedPlacement('zone-1', (node) => (isStrong(node) ? 1.35 : 0.3));
   const [first = ''] = placed.offersFor('job');
-  placed.noteSilent(first);
+  placed.noteUnresponsive(first);
   const [second = ''] = placed.offersFor('job');
   t.not(second, first);
   t.equal(zoneOf(second), 'zone-1');
@@ -152,7 +152,7 @@
 t.test('a job that its owner gives up or does not answer for stays in its region', async (t) => {
   const { placed } = regionalPlacement('zone-0');
   const [owner = '', next] = placed.ownersOf('job');
-  placed.noteSilent(owner);
+  placed.noteUnresponsive(owner);
   t.equal(placed.ownersOf('job')[0], next);
   t.equal(regionOf(next ?? ''), 'north');
 });
--- a/test/fleet/peer-monitor.test.ts
+++ b/test/fleet/peer-monitor.test.ts
@@ -17,9 +17,9 @@
   const peers = new StubPeers();
   const fleet = {
     liveNodes: () => [OWNER.node, OTHER.node],
-    ownerOf: () => OTHER,
+    incarnationOf: () => OTHER,
     addressOf: () => OTHER.address,
-    wasSilentWithin: () => wasSilentHere,
+    wasStoreUnreachableWithin: () => wasSilentHere,
   } as unknown as FleetRegistry;
   const { log } = recordingLog();
   const monitor = new PeerMonitor({ fleet, peers, self: OWNER, clock: PROCESS_CLOCK, log });
--- a/test/fleet/peer-requester.test.ts
+++ b/test/fleet/peer-requester.test.ts
@@ -28,18 +28,18 @@
 function cutOffWith(zones: readonly string[], distanceBetween?: DistanceBetween) {
   const probed: string[] = [];
   const port = {
-    ask: async (address: string) => {
+    request: async (address: string) => {
       probed.push(address);
       const reachesStore = !zones.some((zone) => address.startsWith(zone));
       return { kind: 'answered', answer: { isAlive: true, reachesStore } };
     },
   } as unknown as PeerPort;
   const fleet = {
-    isCutOff: true,
+    isStoreUnreachable: true,
     liveNodes: () => NODES,
     zoneOf: (node: string) => node.split('/')[0],
     addressOf: (node: string) => node,
-    ownerOf: (node: string) => ({ node, incarnation: 'life', address: node }),
+    incarnationOf: (node: string) => ({ node, incarnation: 'life', address: node }),
   } as unknown as FleetRegistry;
   const options = { port, fleet, self: OWNER, zone: 'south-1', metrics: new FleetMetrics() };
   const calls = new PeerRequester({ ...options, ...(distanceBetween && { distanceBetween }) });
@@ -48,21 +48,21 @@
 
 t.test('a region that is cut off from the store alone goes by way of the other', async (t) => {
   const { calls, probed } = cutOffWith(['south-1', 'south-2'], byRegion);
-  t.equal(await calls.nodeThatReachesStore(), 'north-1/1');
+  t.equal(await calls.findNodeReachingStore(), 'north-1/1');
   t.equal(probed.length, 4);
 });
 
 t.test('a node near by goes before one of the other region', async (t) => {
   const { calls } = cutOffWith([], byRegion);
-  t.equal(await calls.nodeThatReachesStore(), 'south-1/1');
+  t.equal(await calls.findNodeReachingStore(), 'south-1/1');
 });
 
 t.test('in one region the own zone is asked first, and nobody else for its own jobs', async (t) => {
   const { calls, probed } = cutOffWith(['south-1']);
-  t.equal(await calls.nodeThatReachesStore(), undefined);
+  t.equal(await calls.findNodeReachingStore(), undefined);
   t.ok(probed.every((node) => node.startsWith('south-1')));
   t.equal(
-    await cutOffWith(['south-1'], byRegion).calls.nodeThatReachesStore('own-zone'),
+    await cutOffWith(['south-1'], byRegion).calls.findNodeReachingStore('own-zone'),
     undefined,
   );
 });
--- a/test/fleet/regional-gateways.ts
+++ b/test/fleet/regional-gateways.ts
@@ -212,7 +212,7 @@
       timings: () => TIMINGS,
       storageDrains: storageDrainPort(this.store),
       zoneRegions: ZONE_REGIONS,
-      zonesServeAlone: this.replicas.places.length > 0,
+      areZonesAutonomous: this.replicas.places.length > 0,
       journalReplicas: GROUP_SIZE,
     });
     this.gateways.set(name, { name, zone, node, metrics, lines });
@@ -236,7 +236,7 @@
 
   private peersOf(from: string): PeerPort {
     return {
-      ask: async <Kind extends PeerRequest['kind']>(
+      request: async <Kind extends PeerRequest['kind']>(
         to: string,
         request: PeerRequest,
       ): Promise<PeerOutcome<Kind>> => {
--- a/test/fleet/regions-property.test.ts
+++ b/test/fleet/regions-property.test.ts
@@ -77,11 +77,11 @@
     const wanted = (): boolean => PROCESS_CLOCK.now() < until;
     const spec = job === 0 ? jobOn('wide', id, 'owner') : jobOn('pinned', id);
     if (kind === 'submit') await jobs.submit(spec, wanted);
-    if (kind === 'end') await jobs.end(id, UNRESTRICTED, wanted);
+    if (kind === 'end') await jobs.cancel(id, UNRESTRICTED, wanted);
     if (kind !== 'read' && kind !== 'body') return;
     this.readAt.add(at);
     if (kind === 'read') await jobs.read(id, 0, 0, UNRESTRICTED);
-    else await jobs.body(id, `${id}-0`, UNRESTRICTED);
+    else await jobs.itemBody(id, `${id}-0`, UNRESTRICTED);
   }
 }
 
--- a/test/fleet/relayed-fleet.ts
+++ b/test/fleet/relayed-fleet.ts
@@ -219,14 +219,14 @@
       },
       commit: (commit) => store.commit(commit),
       grantLease: (ttl) => store.grantLease(ttl),
-      keepLease: (lease) => store.keepLease(lease),
-      endLease: (lease) => store.endLease(lease),
+      renewLease: (lease) => store.renewLease(lease),
+      revokeLease: (lease) => store.revokeLease(lease),
     };
   }
 
   private peers(): PeerPort {
     return {
-      ask: async (address, request, limit) => {
+      request: async (address, request, limit) => {
         this.asked.set(request.kind, (this.asked.get(request.kind) ?? 0) + 1);
         const startedAt = PROCESS_CLOCK.now();
         const answer = this.silent.has(address) ? undefined : this.answerAt(address, request);
@@ -265,7 +265,7 @@
   store.write(`${PREFIX}w1`, 'ready');
   const relay = new WatchRelay({
     store,
-    peers: { ask: async () => ({ kind: 'refused' }) },
+    peers: { request: async () => ({ kind: 'refused' }) },
     fleet: () => ({
       liveNodes: () => ['node-1'],
       zoneOf: () => 'zone-1',
--- a/test/fleet/submission-router.test.ts
+++ b/test/fleet/submission-router.test.ts
@@ -23,22 +23,22 @@
   const clock = new ManualClock();
   const asked: string[] = [];
   const calls = {
-    ask: async (node: string, request: Offer) => {
+    request: async (node: string, request: Offer) => {
       asked.push(node);
       return use(request, clock);
     },
   } as unknown as PeerRequester;
   const placement = {
     offersFor: () => ['node-2', 'node-3'],
-    noteSilent: () => {},
+    noteUnresponsive: () => {},
   } as unknown as JobPlacement;
-  const fleet = { isCutOff: false } as unknown as FleetRegistry;
+  const fleet = { isStoreUnreachable: false } as unknown as FleetRegistry;
   // Nothing is looked at in between.
   clock.sleep = () => new Promise<void>(() => {});
   return {
     router: new SubmissionRouter({
       ...{ calls, fleet, placement, self: OWNER, clock },
-      takesJobsAlone: () => false,
+      acceptsJobsWithoutStore: () => false,
     }),
     clock,
     asked,
--- a/test/fleet/suspended-node.test.ts
+++ b/test/fleet/suspended-node.test.ts
@@ -17,7 +17,7 @@
 import { recordingLog, worker } from '../serving/serving-fixtures.js';
 import { eventually } from './fleet-fixtures.js';
 
-const SILENT_PEERS: PeerPort = { ask: async () => ({ kind: 'silent' }) };
+const SILENT_PEERS: PeerPort = { request: async () => ({ kind: 'silent' }) };
 
 /** The clock of this process, on a machine that a test suspends. */
 class SuspendableClock implements Clock {
@@ -89,7 +89,7 @@
   warmth.noteListed();
   warmth.noteRecord(cold);
   const granter = new PermitGranter({
-    ...{ clock, warmth, tokenValidity: 0, workerOf: () => cold, look: () => {} },
+    ...{ clock, warmth, tokenValidity: 0, workerOf: () => cold, probe: () => {} },
     tolerance: { factor: 1, requests: 0 },
     fencingToken: () => lock.fencingToken(),
     coldStartOf: () => ({ duration: 60_000, requestsPerSecond: 9 }),
--- a/test/fleet/watch-relay.test.ts
+++ b/test/fleet/watch-relay.test.ts
@@ -62,7 +62,7 @@
   const metrics = new FleetMetrics();
   const relay = new WatchRelay({
     store: new SharedStoreEmulator(),
-    peers: { ask: async () => ({ kind: 'refused' }) },
+    peers: { request: async () => ({ kind: 'refused' }) },
     fleet: () => ({
       liveNodes: () => NODES,
       zoneOf: () => 'zone-1',
--- a/test/fleet/weight-rollout.test.ts
+++ b/test/fleet/weight-rollout.test.ts
@@ -106,7 +106,7 @@
       noteRefused: () => {},
     },
     holder: 'node-1',
-    named: new Map(),
+    namedVersions: new Map(),
     isConfigured: () => true,
     noteChange: () => {},
     mode: () => 'keep',
@@ -145,7 +145,7 @@
   isAway: (worker: KnownWorker) => boolean = () => false,
 ) {
   return new WeightRollout({
-    isAway,
+    isEvacuated: isAway,
     registry,
     engine,
     clock,
@@ -156,7 +156,7 @@
       noteRefused: () => {},
     },
     holder: 'node-1',
-    named: new Map([['model-a', { version: 5, namedAt: 0 }]]),
+    namedVersions: new Map([['model-a', { version: 5, namedAt: 0 }]]),
     isConfigured: (service) => service === 'service',
     noteChange: (change) => void changes.push(change),
     mode: () => 'keep',
--- a/test/fleet/worker-roster.test.ts
+++ b/test/fleet/worker-roster.test.ts
@@ -16,7 +16,7 @@
   const registry = new WorkerRegistry();
   const engine = new ScriptedEngine();
   const { log, lines } = recordingLog();
-  const fleet = { wasSilentWithin: () => wasSilent };
+  const fleet = { wasStoreUnreachableWithin: () => wasSilent };
   const metrics = new FleetMetrics();
   const roster = new WorkerRoster({ registry, engine, fleet, log, metrics });
   return { roster, registry, engine, lines };
--- a/test/jobs/ended-elsewhere.test.ts
+++ b/test/jobs/ended-elsewhere.test.ts
@@ -36,8 +36,8 @@
   const now = jobNode(emulator, OTHER, new ScriptedEngine([stream('cd'), stream('ef')]));
   const peers: JobPeers = {
     ...NO_PEERS,
-    endElsewhere: async (job, caller) =>
-      link.isCut ? { failure: await now.service.endHere(job, caller, never) } : undefined,
+    cancelElsewhere: async (job, caller) =>
+      link.isCut ? { failure: await now.service.cancelHere(job, caller, never) } : undefined,
   };
   const before = jobNode(link, OWNER, new ScriptedEngine([stream('ab')]), peers);
   before.registry.put(worker('w1'));
@@ -53,9 +53,9 @@
   if (head.kind !== 'found') throw new Error(head.kind);
   now.registry.put(worker('w1'));
   // The owner of before does not hear of it: it does not answer who takes the job over.
-  t.ok(await now.service.adopt('job', head.value));
+  t.ok(await now.service.takeOver('job', head.value));
   await workUntil(now, isFinished(now));
-  t.equal(await before.service.end('job', UNRESTRICTED, never), undefined);
+  t.equal(await before.service.cancel('job', UNRESTRICTED, never), undefined);
 
   const reader = jobNode(emulator, READER, new ScriptedEngine(), {
     ...NO_PEERS,
@@ -66,7 +66,7 @@
       return listing.isOwner ? listing : undefined;
     },
     bodyAtOwner: async (job, item) => {
-      const told = before.service.ownBody(job, item);
+      const told = before.service.ownItemBody(job, item);
       return told.isOwner ? told : undefined;
     },
   });
@@ -93,8 +93,8 @@
   const { before, now, link } = await passedOnEnd(t);
   link.isCut = false;
   t.same(await idsAt(before, 0), await idsAt(now, 0));
-  t.equal(await before.service.end('job', UNRESTRICTED, never), undefined);
-  t.ok(await before.service.endOwn('job', UNRESTRICTED), 'for others it has ended too');
+  t.equal(await before.service.cancel('job', UNRESTRICTED, never), undefined);
+  t.ok(await before.service.cancelOwn('job', UNRESTRICTED), 'for others it has ended too');
 });
 
 /** A caller that gives up before the store answers leaves its end under way. */
@@ -105,7 +105,7 @@
   const ticker = keepWorking(node);
   t.teardown(() => clearInterval(ticker));
   emulator.setAvailability('refusing');
-  t.equal((await node.service.end('job', UNRESTRICTED, never))?.kind, 'ledger_unavailable');
+  t.equal((await node.service.cancel('job', UNRESTRICTED, never))?.kind, 'ledger_unavailable');
   emulator.setAvailability('up');
   await eventually(() => node.service.ownedJobs()[0]?.ending === 'ended');
 });
--- a/test/jobs/held-listing.test.ts
+++ b/test/jobs/held-listing.test.ts
@@ -50,12 +50,12 @@
 
 t.test('an end is refused in time while a page waits for the store, and holds after', async (t) => {
   const { emulator, node, job } = await heldListing(t);
-  const ending = node.service.end('job', UNRESTRICTED, never);
+  const ending = node.service.cancel('job', UNRESTRICTED, never);
   t.ok(await isInTime(ending));
   emulator.setAvailability('up');
   t.equal((await ending)?.kind, 'ledger_unavailable');
   await eventually(() => job.ending === 'ended');
-  t.equal(await node.service.end('job', UNRESTRICTED, never), undefined);
+  t.equal(await node.service.cancel('job', UNRESTRICTED, never), undefined);
   t.equal(job.results.length, 1, 'what was whole is listed');
 });
 
--- a/test/jobs/item-placement.test.ts
+++ b/test/jobs/item-placement.test.ts
@@ -23,7 +23,7 @@
 
 function known(id: string, pace: number, fields = {}): KnownWorker {
   const made = new KnownWorker(worker(id, fields));
-  made.notePace(pace);
+  made.noteEventInterval(pace);
   return made;
 }
 
@@ -84,8 +84,8 @@
 
 t.test('a few pauses do not make a worker slow, lasting slowness does', async (t) => {
   const paused = known('paused', 50);
-  for (let sample = 0; sample < 10; sample += 1) paused.notePace(900);
+  for (let sample = 0; sample < 10; sample += 1) paused.noteEventInterval(900);
   t.notOk(isSlow(paused, 50));
-  for (let sample = 0; sample < 30; sample += 1) paused.notePace(175);
+  for (let sample = 0; sample < 30; sample += 1) paused.noteEventInterval(175);
   t.ok(isSlow(paused, 50));
 });
--- a/test/jobs/item-scorer.test.ts
+++ b/test/jobs/item-scorer.test.ts
@@ -125,7 +125,7 @@
   const run = scenario([text('ab'), 'hang']);
   await run.node.service.submit(scoredSpecification('job', 1), always);
   await workUntil(run.node, () => run.engine.requests.length === 2);
-  t.equal(await run.node.service.end('job', UNRESTRICTED, always), undefined);
+  t.equal(await run.node.service.cancel('job', UNRESTRICTED, always), undefined);
   t.same(run.engine.cancelled, ['s1']);
   await workUntil(run.node, always);
   t.equal(run.engine.requests.length, 2);
@@ -159,7 +159,7 @@
   const node = jobNode(store, OWNER, engine);
   node.registry.put(worker('w1'));
   node.registry.put(worker('s1', { service: 'scorers' }));
-  t.equal(await node.service.adopt('job', freed.current), true);
+  t.equal(await node.service.takeOver('job', freed.current), true);
   await workUntil(node, isFinished(node));
   t.match(await resultsOf(node), [{ text: 'a\nb', score: 'anew' }]);
   t.same(
@@ -183,7 +183,7 @@
   await run.node.service.submit(scoredSpecification('first', 2), always);
   const first = (): JobResult[] => run.node.service.ownedJobs()[0]?.finishedResults() ?? [];
   await workUntil(run.node, () => first().length === 1);
-  await run.node.service.end('first', UNRESTRICTED, always);
+  await run.node.service.cancel('first', UNRESTRICTED, always);
   await run.node.service.submit(next, always);
   return run;
 }
--- a/test/jobs/job-node.ts
+++ b/test/jobs/job-node.ts
@@ -87,14 +87,14 @@
   const routes = (): RouteMatcher => matcher;
   const store = new JobStore(emulator, clock);
   const shared = { clock, log, metrics, routes };
-  const ownQuarantine = quarantine((worker) => engine.standingOf(worker, '/health'));
+  const ownQuarantine = quarantine((worker) => engine.probeLiveness(worker, '/health'));
   const dispatcher = new ItemDispatcher({
     ...shared,
     engine,
     versionField: VERSION_FIELD,
     registry,
     quarantine: ownQuarantine,
-    isStoreSilent,
+    isStoreUnreachable: isStoreSilent,
     zone: 'zone-1',
   });
   const reader = new JobReader(
@@ -109,7 +109,7 @@
     ...{ store, reader, peers, dispatcher, self },
     zone: 'zone-1',
     retention: () => 60_000,
-    ...{ journals, residency, isWriterLive, mayRecover: () => journals !== undefined },
+    ...{ journals, residency, isWriterLive, canRecover: () => journals !== undefined },
   };
   return {
     service: new JobService(options),
--- a/test/jobs/job-service.test.ts
+++ b/test/jobs/job-service.test.ts
@@ -104,8 +104,8 @@
   await eventually(() => engine.requests.length === 2);
   node.registry.put(worker('fast'));
   // Paces so long that the pause of the stream is no reason of its own to move.
-  node.registry.get('slow')?.notePace(390);
-  node.registry.get('fast')?.notePace(300);
+  node.registry.get('slow')?.noteEventInterval(390);
+  node.registry.get('fast')?.noteEventInterval(300);
   await workUntil(node, isFinished(node));
   t.equal(engine.requests[2]?.worker.id, 'fast');
   const moved = node.lines
@@ -152,9 +152,9 @@
 t.test('bodies come back as they were, at any node', async (t) => {
   const emulator = new SharedStoreEmulator();
   await jobNode(emulator, OWNER).service.submit(specification('job', 2), always);
-  const body = await jobNode(emulator, OTHER).service.body('job', 'item-1', UNRESTRICTED);
+  const body = await jobNode(emulator, OTHER).service.itemBody('job', 'item-1', UNRESTRICTED);
   t.equal(Buffer.isBuffer(body) && body.toString(), 'body 1');
-  const none = await jobNode(emulator, OTHER).service.body('job', 'item-9', UNRESTRICTED);
+  const none = await jobNode(emulator, OTHER).service.itemBody('job', 'item-9', UNRESTRICTED);
   t.equal('kind' in none && none.kind, 'not_found');
 });
 
@@ -163,9 +163,9 @@
   const owner = jobNode(emulator, OWNER);
   await owner.service.submit(specification('job', 2), always);
   const other = jobNode(emulator, OTHER);
-  t.equal(await other.service.end('job', UNRESTRICTED, always), undefined);
-  t.equal(await other.service.end('job', UNRESTRICTED, always), undefined);
-  t.equal((await other.service.end('none', UNRESTRICTED, always))?.kind, 'not_found');
+  t.equal(await other.service.cancel('job', UNRESTRICTED, always), undefined);
+  t.equal(await other.service.cancel('job', UNRESTRICTED, always), undefined);
+  t.equal((await other.service.cancel('none', UNRESTRICTED, always))?.kind, 'not_found');
   await workUntil(owner, isFinished(owner));
   t.equal(owner.service.ownedJobs()[0]?.ending, 'ended');
 });
@@ -255,7 +255,7 @@
 t.test('a stopping node takes a job for another one to run', async (t) => {
   const emulator = new SharedStoreEmulator();
   const offered: string[] = [];
-  const peers = { ...NO_PEERS, handOver: async (job: string) => void offered.push(job) };
+  const peers = { ...NO_PEERS, offerReleased: async (job: string) => void offered.push(job) };
   const engine = new ScriptedEngine();
   const node = jobNode(emulator, OWNER, engine, peers);
   node.registry.put(worker('w1'));
@@ -272,10 +272,10 @@
   const node = jobNode(emulator, OWNER);
   const old = (id: string) => ({ ...specification(id, 2), submittedAt: Date.now() - 600_000 });
   await node.service.submit(old('ended'), always);
-  await node.service.end('ended', UNRESTRICTED, always);
+  await node.service.cancel('ended', UNRESTRICTED, always);
   await node.service.submit(old('open'), always);
   await node.service.submit(specification('recent', 2), always);
-  await node.service.end('recent', UNRESTRICTED, always);
+  await node.service.cancel('recent', UNRESTRICTED, always);
   await node.service.removeExpired();
   t.same(emulator.keys('job/head/'), ['job/head/open', 'job/head/recent']);
   t.same(
--- a/test/jobs/journaled-jobs.test.ts
+++ b/test/jobs/journaled-jobs.test.ts
@@ -71,7 +71,7 @@
   await eventually(() => {
     void zone
       .journals('any')
-      .unfinished()
+      .unsyncedHolders()
       .then(({ length }) => {
         held = length;
       });
@@ -97,7 +97,7 @@
   t.equal(await node.service.submit(next, always), undefined, 'kept without the store');
   await workUntil(node, () => node.service.ownedJobs()[1]?.results.length === 1);
   t.same(await textsAt(node, 'next'), ['e\nf']);
-  t.equal(await node.service.end('next', UNRESTRICTED, always), undefined);
+  t.equal(await node.service.cancel('next', UNRESTRICTED, always), undefined);
 
   emulator.setAvailability('up');
   await eventually(() => node.service.ownedJobs().every((job) => !job.isActive));
@@ -120,7 +120,7 @@
   if (read.kind !== 'found') throw new Error(read.kind);
   for (const address of zone.addresses) zone.unreachable.add(address);
   const outside = otherNode(place, 'zone-2');
-  t.equal(await outside.service.adopt('job', read.value), false);
+  t.equal(await outside.service.takeOver('job', read.value), false);
 });
 
 t.test('who takes a job over lists on behind what the journal kept', async (t) => {
@@ -137,7 +137,7 @@
   t.equal(replicas.length, 3);
   // The owner is gone with its commits under way: only the journal knows.
   const next = otherNode({ ...place, emulator: await emulatorWith(emulator, 'job') });
-  t.equal(await next.service.adopt('job', before.value), true);
+  t.equal(await next.service.takeOver('job', before.value), true);
   t.same(await textsAt(next), told);
   t.equal(next.service.ownedJobs()[0]?.pages, node.service.ownedJobs()[0]?.pages);
 });
@@ -264,10 +264,10 @@
   t.equal(await textsAt(outside), 'ledger_unavailable');
   t.equal(await textsAt(outside, 'unheard-of'), 'ledger_unavailable');
   t.equal(
-    (await outside.service.end('unheard-of', UNRESTRICTED, always))?.kind,
+    (await outside.service.cancel('unheard-of', UNRESTRICTED, always))?.kind,
     'ledger_unavailable',
   );
-  const body = await outside.service.body('unheard-of', 'item-0', UNRESTRICTED);
+  const body = await outside.service.itemBody('unheard-of', 'item-0', UNRESTRICTED);
   t.match(body, { kind: 'ledger_unavailable' });
   zone.unreachable.clear();
   emulator.setAvailability('refusing');
@@ -320,7 +320,7 @@
   const second = jobNode(emulator, OTHER, new ScriptedEngine(), NO_PEERS, { journals });
   const refusal = await second.service.submit(specification('job', 1), never);
   t.equal(refusal?.kind, 'outcome_unknown');
-  t.equal(await first?.keep([]), 'kept', 'the first may still take it in');
+  t.equal(await first?.append([]), 'kept', 'the first may still take it in');
 });
 
 /**
@@ -345,7 +345,7 @@
   node.dispatcher.stop();
   const answer = waiting.service.submit(specification('job', 1), always);
   await eventually(() => zone.asked.some(({ kind }) => kind === 'journal-claim'));
-  const next = zone.journals('other/life').open('job', journals.ownReplicas(), 2);
+  const next = zone.journals('other/life').open('job', journals.replicasInOwnZone(), 2);
   t.equal((await next.claim()).kind, 'claimed');
   zone.denying.set(far.address, far);
   t.equal((await answer)?.kind, 'outcome_unknown');
--- a/test/jobs/lethal-items.test.ts
+++ b/test/jobs/lethal-items.test.ts
@@ -43,7 +43,7 @@
     this.node?.registry.put(worker(`worker-${this.started}`, { service }));
   }
 
-  override async standingOf(asked?: { readonly id: string }): Promise<WorkerLiveness> {
+  override async probeLiveness(asked?: { readonly id: string }): Promise<WorkerLiveness> {
     return this.ended.includes(asked?.id ?? '') ? 'ended' : 'lives';
   }
 
@@ -109,7 +109,7 @@
   // Earlier owners of the job have seen five end, the last of them just before the pause was over.
   const almost = performance.now() - SUSPECT_PAUSE + 400;
   for (const name of ['a', 'b', 'c', 'd', 'e']) {
-    node.quarantine.take({ worker: name, requests: [fingerprint] }, almost);
+    node.quarantine.applyReport({ worker: name, requests: [fingerprint] }, almost);
   }
   const before = workers.ended.length;
   await sleep(OBSERVED);
--- a/test/jobs/looks-from-anywhere.test.ts
+++ b/test/jobs/looks-from-anywhere.test.ts
@@ -115,7 +115,7 @@
 }
 
 const endAt = ({ node }: JoinedGateway): Promise<Failure | undefined> =>
-  node.jobs.end('job', UNRESTRICTED, () => false);
+  node.jobs.cancel('job', UNRESTRICTED, () => false);
 
 /** What one look at a gateway came to: whether it knew, and what was wrong. */
 interface Look {
@@ -151,7 +151,7 @@
     const isRight = !isFailure(read) && takeRead(told, before, position, [...read.results]);
     note(`position ${position} of ${before}`, read, isRight);
   }
-  const body = await jobs.body('job', ENDLESS, UNRESTRICTED);
+  const body = await jobs.itemBody('job', ENDLESS, UNRESTRICTED);
   const wanted = spec.items.find(({ id }) => id === ENDLESS)?.body;
   note('body', body, Buffer.isBuffer(body) && body.toString('base64') === wanted);
   const refusal = await gateway.node.submit(spec, () => false);
--- a/test/jobs/misplaced-jobs.test.ts
+++ b/test/jobs/misplaced-jobs.test.ts
@@ -70,7 +70,7 @@
   await inside.service.submitHere(specification('job', 2), always);
   emulator.calls.clear();
   const { service, lines } = nodeIn('zone-1', limit, emulator);
-  t.equal(await service.adoptFrom('job', OTHER, false), false);
+  t.equal(await service.takeOverFrom('job', OTHER, false), false);
   t.equal(await service.takeReleased('job'), false);
   t.same(service.ownedJobs(), []);
   t.equal(emulator.calls.get('range') ?? 0, 0, 'neither bodies nor results');
@@ -83,10 +83,10 @@
   const head = { ...headOf(spec, OTHER), zone: 'zone-2' };
   await new JobStore(emulator, PROCESS_CLOCK).create(spec, head, always);
   const limit: Limit = { regions: ['south'] };
-  t.equal(await nodeIn('zone-1', limit, emulator).service.adoptFrom('job', OTHER, false), false);
+  t.equal(await nodeIn('zone-1', limit, emulator).service.takeOverFrom('job', OTHER, false), false);
   const life = { ...OTHER, incarnation: 'life-3' };
   const inside = nodeIn('zone-2', limit, emulator, life);
-  t.equal(await inside.service.adoptFrom('job', OTHER, false), true);
+  t.equal(await inside.service.takeOverFrom('job', OTHER, false), true);
   inside.dispatcher.stop();
 });
 
@@ -105,12 +105,12 @@
     emulator.setAvailability('up');
     const { service } = nodeIn(zone, limit, emulator);
     t.match(await service.read('job', 0, 0, UNRESTRICTED), { results: [{ text: 'a\nb' }] });
-    t.ok(Buffer.isBuffer(await service.body('job', 'item-0', UNRESTRICTED)));
+    t.ok(Buffer.isBuffer(await service.itemBody('job', 'item-0', UNRESTRICTED)));
     emulator.setAvailability('refusing');
     const again = await service.read('job', 0, 0, UNRESTRICTED);
     t.equal('results' in again, kept, `${zone}: results`);
     t.equal(
-      Buffer.isBuffer(await service.body('job', 'item-0', UNRESTRICTED)),
+      Buffer.isBuffer(await service.itemBody('job', 'item-0', UNRESTRICTED)),
       kept,
       `${zone}: body`,
     );
@@ -124,7 +124,7 @@
   node.registry.put(worker('w1'));
   await node.service.submitHere(specification('job', 2), always);
   await workUntil(node, () => node.service.ownedJobs()[0]?.results.length === 1);
-  await node.service.end('job', UNRESTRICTED, always);
+  await node.service.cancel('job', UNRESTRICTED, always);
   return node;
 }
 
@@ -132,19 +132,19 @@
 
 t.test('kept work is told to nodes that may hold it, and to no others', async (t) => {
   const { service } = await withEndedJob({ regions: ['north'] });
-  t.equal(service.keptWorkOf(ITEMS, 'zone-1').size, 1);
-  t.equal(service.keptWorkOf(ITEMS, 'zone-2').size, 0);
-  t.equal(service.keptWorkOf(ITEMS).size, 0, 'an older build does not tell its zone');
+  t.equal(service.cachedWorkOf(ITEMS, 'zone-1').size, 1);
+  t.equal(service.cachedWorkOf(ITEMS, 'zone-2').size, 0);
+  t.equal(service.cachedWorkOf(ITEMS).size, 0, 'an older build does not tell its zone');
   const unlimited = await withEndedJob({ regions: undefined });
-  t.equal(unlimited.service.keptWorkOf(ITEMS).size, 1);
+  t.equal(unlimited.service.cachedWorkOf(ITEMS).size, 1);
 });
 
 t.test('a limit that comes later binds on work that was kept before', async (t) => {
   const limit: Limit = { regions: undefined };
   const { service } = await withEndedJob(limit);
   limit.regions = ['north'];
-  t.equal(service.keptWorkOf(ITEMS, 'zone-2').size, 0);
-  t.equal(service.keptWorkOf(ITEMS, 'zone-1').size, 1);
+  t.equal(service.cachedWorkOf(ITEMS, 'zone-2').size, 0);
+  t.equal(service.cachedWorkOf(ITEMS, 'zone-1').size, 1);
 });
 
 t.test(
@@ -164,7 +164,7 @@
       if (job === undefined) throw new Error('no job');
       const made = { id: 'item-0', state: 'completed', text: 'ab', versions: [1] } as const;
       for (const entry of job.items.values()) job.finish(entry, { ...made, versions: [1] });
-      t.equal(node.service.surrender('job', zone).size, handed, zone);
+      t.equal(node.service.releaseTakenOver('job', zone).size, handed, zone);
       t.equal(job.isOpen, false);
       node.dispatcher.stop();
     }
@@ -178,7 +178,7 @@
   t.equal(node.service.ownedJobs().length, 1);
   limit.regions = ['south'];
   await workUntil(node, () => node.service.ownedJobs().length === 0);
-  t.same(node.service.ownBody('job', 'item-0'), { isOwner: false });
+  t.same(node.service.ownItemBody('job', 'item-0'), { isOwner: false });
 });
 
 t.test('a job that may no longer lie here is offered again until a node takes it', async (t) => {
@@ -186,7 +186,7 @@
   const offers: unknown[] = [];
   const peers = {
     ...NO_PEERS,
-    moveAway: async (job: string, owner: JobOwner, allowed: unknown) => {
+    transferMisplaced: async (job: string, owner: JobOwner, allowed: unknown) => {
       offers.push([job, owner.node, allowed]);
       return offers.length > 1;
     },
@@ -241,7 +241,7 @@
       limit.regions = regions;
       const engine = new ScriptedEngine([answer(events(0, 'ab'), { isStream: true })]);
       const next = journaled(OTHER, 'zone-2', engine);
-      t.equal(await next.service.adoptFrom('job', OWNER, false), true);
+      t.equal(await next.service.takeOverFrom('job', OWNER, false), true);
       emulator.setAvailability('refusing');
       next.registry.put(worker('w1'));
       const appended = (): boolean =>
--- a/test/jobs/near-zone.test.ts
+++ b/test/jobs/near-zone.test.ts
@@ -26,7 +26,7 @@
   return Array.from({ length: 12 }, (_, index) => {
     const zone = ZONES[index % 3] ?? '';
     const made = new KnownWorker(worker(`w-${index}`, { slots: SLOTS, zone }));
-    made.notePace(zone === 'zone-2' ? lastPace : 40);
+    made.noteEventInterval(zone === 'zone-2' ? lastPace : 40);
     return made;
   });
 }
--- a/test/jobs/placement-round.test.ts
+++ b/test/jobs/placement-round.test.ts
@@ -47,7 +47,7 @@
   return Array.from({ length: WORKERS }, (_, index) => {
     const made = new CountingWorker(worker(`w-${index}`, { slots: SLOTS, ...fields }));
     // A third is slower by a third.
-    made.notePace(index % 3 === 0 ? 52 : 40);
+    made.noteEventInterval(index % 3 === 0 ? 52 : 40);
     return made;
   });
 }
@@ -69,7 +69,7 @@
   t.equal(placed.length, ITEMS);
   t.ok(CountingWorker.comparisons <= 70 * ITEMS, `${CountingWorker.comparisons} comparisons`);
   t.ok(workers.every(({ inFlight }) => inFlight <= SLOTS));
-  const slow = placed.filter(({ pace }) => pace === 52).length;
+  const slow = placed.filter(({ eventInterval: pace }) => pace === 52).length;
   t.ok(slow < ITEMS / 10, `${slow} of ${ITEMS} at slower workers while fast ones are free`);
 });
 
@@ -90,6 +90,6 @@
   const workers = largeFleet();
   for (const one of workers) one.inFlight = 2;
   const reader = workers[WORKERS - 2];
-  t.equal(reader?.pace, 40);
+  t.equal(reader?.eventInterval, 40);
   t.equal(new PlacementRound(workers, NOW).place(NEEDS, reader?.record.id), reader);
 });
--- a/test/jobs/surrendered-job.test.ts
+++ b/test/jobs/surrendered-job.test.ts
@@ -51,13 +51,13 @@
   const nextEngine = new ScriptedEngine([answer(events(2, 'z'), { isStream: true })]);
   const peers = {
     ...NO_PEERS,
-    surrenderedWork: async (_: unknown, job: string) => owner.service.surrender(job),
+    releaseAtOwner: async (_: unknown, job: string) => owner.service.releaseTakenOver(job),
   };
   const next = jobNode(emulator, OTHER, nextEngine, peers);
   next.registry.put(worker('w1'));
   const head = await new JobStore(emulator, PROCESS_CLOCK).head('job');
   if (head.kind !== 'found') throw new Error(head.kind);
-  t.equal(await next.service.adopt('job', head.value, true), true);
+  t.equal(await next.service.takeOver('job', head.value, true), true);
   const ticker = keepWorking(next);
   await eventually(() => next.service.ownedJobs()[0]?.isOpen === false);
   clearInterval(ticker);
@@ -93,7 +93,7 @@
     ...NO_PEERS,
     submitElsewhere: async () => ({ kind: 'answered', failure: undefined }) as const,
     readElsewhere: async () => slice,
-    endElsewhere: async (job: string) => {
+    cancelElsewhere: async (job: string) => {
       ended.push(job);
       return { failure: undefined };
     },
@@ -104,7 +104,7 @@
   t.equal(await node.service.submit(specification('job', 1), always), undefined);
   t.same(node.service.ownedJobs(), [], 'it is run by the other node');
   t.equal(await node.service.read('job', 0, 0, UNRESTRICTED), slice);
-  t.equal(await node.service.end('job', UNRESTRICTED, always), undefined);
+  t.equal(await node.service.cancel('job', UNRESTRICTED, always), undefined);
   t.same(ended, ['job']);
   node.dispatcher.stop();
 });
--- a/test/jobs/tenant-jobs.test.ts
+++ b/test/jobs/tenant-jobs.test.ts
@@ -24,14 +24,14 @@
   t.equal(await owner.service.submit(ofNorth(2), always), undefined);
   for (const { service } of [owner, jobNode(emulator, OTHER)]) {
     t.match(await service.read('job', 0, 0, SOUTH), { kind: 'not_found' });
-    t.match(await service.body('job', 'item-1', SOUTH), { kind: 'not_found' });
-    t.match(await service.end('job', SOUTH, always), { kind: 'not_found' });
+    t.match(await service.itemBody('job', 'item-1', SOUTH), { kind: 'not_found' });
+    t.match(await service.cancel('job', SOUTH, always), { kind: 'not_found' });
     t.match(await service.read('job', 0, 0, { kind: 'anonymous' }), { kind: 'not_found' });
     t.match(await service.read('job', 0, 0, NORTH), { total: 2 });
-    t.ok(Buffer.isBuffer(await service.body('job', 'item-1', NORTH)));
+    t.ok(Buffer.isBuffer(await service.itemBody('job', 'item-1', NORTH)));
   }
   t.equal(owner.service.ownedJobs()[0]?.isOpen, true, 'nobody else has ended it');
-  t.equal(await jobNode(emulator, OTHER).service.end('job', NORTH, always), undefined);
+  t.equal(await jobNode(emulator, OTHER).service.cancel('job', NORTH, always), undefined);
 });
 
 t.test('what another tenant is told of a job is the same as of none', async (t) => {
--- a/test/journal/job-journal.test.ts
+++ b/test/journal/job-journal.test.ts
@@ -13,24 +13,24 @@
   const zone = await JournalZone.open(t);
   const journal = zone.journals('node-1/life-1').openNew('job') as JobJournal;
   t.same(await journal.claim(), { kind: 'claimed', entries: [] });
-  t.equal(await journal.keep([page(0)]), 'kept');
+  t.equal(await journal.append([page(0)]), 'kept');
   zone.unreachable.add(zone.addresses[2] ?? '');
-  t.equal(await journal.keep([page(1)]), 'unsure');
-  t.equal(await journal.keep([]), 'unsure', 'nor is it sure that nobody else writes');
+  t.equal(await journal.append([page(1)]), 'unsure');
+  t.equal(await journal.append([]), 'unsure', 'nor is it sure that nobody else writes');
   zone.unreachable.clear();
-  t.equal(await journal.keep([page(1)]), 'kept');
+  t.equal(await journal.append([page(1)]), 'kept');
 });
 
 t.test('one replica is enough to keep the owner before from writing', async (t) => {
   const zone = await JournalZone.open(t);
   const first = zone.journals('node-1/life-1').openNew('job') as JobJournal;
   await first.claim();
-  await first.keep([page(0)]);
+  await first.append([page(0)]);
   for (const address of zone.addresses.slice(1)) zone.unreachable.add(address);
   const next = zone.journals('node-2/life-2').open('job', first.replicas, 2);
   t.same(await next.claim(), { kind: 'claimed', entries: [page(0)] });
   zone.unreachable.clear();
-  t.equal(await first.keep([page(1)]), 'lost');
+  t.equal(await first.append([page(1)]), 'lost');
 });
 
 t.test('a job is claimed by one of two nodes that were handed it', async (t) => {
@@ -39,7 +39,7 @@
   const other = zone.journals('node-2/life-2').openNew('job') as JobJournal;
   t.equal((await one.claim()).kind, 'claimed');
   t.equal((await other.claim()).kind, 'held-elsewhere');
-  t.equal(await other.keep([page(0)]), 'lost');
+  t.equal(await other.append([page(0)]), 'lost');
 });
 
 t.test('disks that are lost while others are there lose nothing', async (t) => {
@@ -47,10 +47,10 @@
   const [one = '', two = '', three = ''] = zone.addresses;
   const first = zone.journals('node-1/life-1').openNew('job') as JobJournal;
   await first.claim();
-  await first.keep([page(0)]);
+  await first.append([page(0)]);
   await zone.restart(one, 'empty');
   await zone.restart(two, 'empty');
-  t.equal(await first.keep([page(1)]), 'unsure', 'an empty disk is not one of the job');
+  t.equal(await first.append([page(1)]), 'unsure', 'an empty disk is not one of the job');
   const next = zone.journals('node-2/life-2').open('job', first.replicas, 2);
   const claim = await next.claim();
   t.equal(claim.kind, 'claimed');
@@ -107,7 +107,7 @@
           continue;
         }
         const entry = page(kept.length);
-        if ((await journals[step.owner]?.keep([entry])) !== 'kept') continue;
+        if ((await journals[step.owner]?.append([entry])) !== 'kept') continue;
         if (step.owner !== keeper) return false;
         kept.push(entry);
       }
@@ -121,18 +121,18 @@
   const zone = await JournalZone.open(t);
   const inside = zone.journals('node-1/life-1');
   const outside = zone.journals('node-9/life-9', 'zone-2');
-  t.equal(await outside.sightAnywhere('job'), 'not-held');
+  t.equal(await outside.entryStatusInAllZones('job'), 'not-held');
   const journal = inside.openNew('job') as JobJournal;
   await journal.claim();
-  t.equal(await outside.sightAnywhere('job'), 'not-held', 'a claim alone holds nothing');
-  await journal.keep([page(0)]);
-  t.equal(await outside.sightAnywhere('job'), 'held');
-  t.equal(await outside.sightOf('job', journal.replicas), 'held');
+  t.equal(await outside.entryStatusInAllZones('job'), 'not-held', 'a claim alone holds nothing');
+  await journal.append([page(0)]);
+  t.equal(await outside.entryStatusInAllZones('job'), 'held');
+  t.equal(await outside.entryStatus('job', journal.replicas), 'held');
   for (const address of zone.addresses) zone.unreachable.add(address);
-  t.equal(await outside.sightAnywhere('other'), 'unsure');
-  t.equal(await outside.sightOf('job', journal.replicas), 'unsure');
+  t.equal(await outside.entryStatusInAllZones('other'), 'unsure');
+  t.equal(await outside.entryStatus('job', journal.replicas), 'unsure');
   zone.unreachable.clear();
   await journal.release([page(0)]);
-  t.equal(await outside.sightOf('job', journal.replicas), 'not-held');
-  t.same(await inside.unfinished(), []);
+  t.equal(await outside.entryStatus('job', journal.replicas), 'not-held');
+  t.same(await inside.unsyncedHolders(), []);
 });
--- a/test/journal/journal-fixtures.ts
+++ b/test/journal/journal-fixtures.ts
@@ -74,7 +74,7 @@
     this.test.teardown(() => replica.stop());
   }
 
-  async ask<Kind extends PeerRequest['kind']>(
+  async request<Kind extends PeerRequest['kind']>(
     address: string,
     request: PeerRequest,
   ): Promise<PeerOutcome<Kind>> {
@@ -100,7 +100,7 @@
     const directory = new ReplicaDirectory({ clock, groupSize: 3 });
     for (const place of [...this.places, ...elsewhere]) {
       const key = `${REPLICA_PREFIX}${place.node}`;
-      directory.take({ key, value: JSON.stringify(place), revision: 1 });
+      directory.applyChange({ key, value: JSON.stringify(place), revision: 1 });
     }
     directory.noteListed();
     return new ZoneJournals({ port: this, metrics: new FleetMetrics(), directory, zone, writer });
--- a/test/journal/older-build.test.ts
+++ b/test/journal/older-build.test.ts
@@ -129,7 +129,7 @@
   const zone = await JournalZone.open(t);
   const options = { port: zone, metrics: new FleetMetrics(), replicas: zone.places };
   const before = new JobJournal({ ...options, holder: HOLDER });
-  t.equal(await before.keep([page(0), LATER]), 'kept');
+  t.equal(await before.append([page(0), LATER]), 'kept');
   const next = new JobJournal({ ...options, holder: NEXT });
   t.same(await next.claim(), { kind: 'claimed', entries: [page(0)] });
 });
