--- a/test/journal/replica-directory.test.ts
+++ b/test/journal/replica-directory.test.ts
@@ -20,18 +20,18 @@
   const shared = { port: zone, metrics: new FleetMetrics(), directory };
   const journals = new ZoneJournals({ ...shared, zone: 'zone-2', writer: 'node-9/life-9' });
   const put = (key: string, value: string | undefined = '') =>
-    directory.take({ key, value, revision: 1 });
+    directory.applyChange({ key, value, revision: 1 });
   return { clock, directory, journals, put };
 }
 
 t.test('a node that has just started is sure of nothing before the fleet was listed', async (t) => {
   const zone = await JournalZone.open(t);
   const { directory, journals, put } = started(zone);
-  t.equal(await journals.sightAnywhere('job'), 'unsure');
+  t.equal(await journals.entryStatusInAllZones('job'), 'unsure');
   for (const place of zone.places) put(`${REPLICA_PREFIX}${place.node}`, JSON.stringify(place));
-  t.equal(await journals.sightAnywhere('job'), 'unsure');
+  t.equal(await journals.entryStatusInAllZones('job'), 'unsure');
   directory.noteListed();
-  t.equal(await journals.sightAnywhere('job'), 'not-held');
+  t.equal(await journals.entryStatusInAllZones('job'), 'not-held');
 });
 
 t.test('nor while a zone has a journal of whose replicas it has never heard', async (t) => {
@@ -39,9 +39,9 @@
   const { directory, journals, put } = started(zone);
   put(`${JOURNAL_ZONE_PREFIX}${ZONE}`);
   directory.noteListed();
-  t.equal(await journals.sightAnywhere('job'), 'unsure');
+  t.equal(await journals.entryStatusInAllZones('job'), 'unsure');
   for (const place of zone.places) put(`${REPLICA_PREFIX}${place.node}`, JSON.stringify(place));
-  t.equal(await journals.sightAnywhere('job'), 'not-held');
+  t.equal(await journals.entryStatusInAllZones('job'), 'not-held');
 });
 
 t.test(
@@ -52,7 +52,11 @@
     for (const place of zone.places) put(`${REPLICA_PREFIX}${place.node}`, JSON.stringify(place));
     t.equal(directory.groupFor('job', ZONE)?.length, 3);
     const [first] = zone.places;
-    directory.take({ key: `${REPLICA_PREFIX}${first?.node}`, value: undefined, revision: 2 });
+    directory.applyChange({
+      key: `${REPLICA_PREFIX}${first?.node}`,
+      value: undefined,
+      revision: 2,
+    });
     clock.time += 4_000;
     t.equal(directory.groupFor('job', ZONE)?.length, 3);
     clock.time += 2_000;
--- a/test/lab/soak/platform-store.test.ts
+++ b/test/lab/soak/platform-store.test.ts
@@ -34,7 +34,7 @@
   await client.commit({ expected: [], put: [{ key: 'k', value: 'v', lease: grant.lease }] });
   t.equal(store.emulator.valueOf('k'), 'v');
   await eventually(() => store.emulator.valueOf('k') === undefined);
-  t.match(await client.keepLease(grant.lease), { kind: 'gone' });
+  t.match(await client.renewLease(grant.lease), { kind: 'gone' });
 });
 
 t.test('a store that refuses, forgets or loses answers shows it to the adapter', async (t) => {
@@ -64,9 +64,9 @@
   t.same(await turnedAway.get('k'), { kind: 'failed', effect: 'not-done' });
   t.match(await client.get('k'), { kind: 'item', item: { value: 'v' } });
   door.refuse('unavailable');
-  t.same(await turnedAway.keepLease(grant.lease), { kind: 'failed', effect: 'not-done' });
+  t.same(await turnedAway.renewLease(grant.lease), { kind: 'failed', effect: 'not-done' });
   door.revokeKeys();
   t.match(await client.get('k'), { kind: 'item', item: undefined });
   door.refuse(undefined);
-  t.match(await turnedAway.keepLease(grant.lease), { kind: 'gone' });
+  t.match(await turnedAway.renewLease(grant.lease), { kind: 'gone' });
 });
--- a/test/peers/kept-connections.test.ts
+++ b/test/peers/kept-connections.test.ts
@@ -45,7 +45,8 @@
   const server = await deafServer(t, stringify({ isTaken: true }));
   const client = new PeerClient();
   t.teardown(() => client.stop());
-  const ask = () => client.ask<'take-job'>(server.address, { kind: 'take-job', job: 'job' }, LIMIT);
+  const ask = () =>
+    client.request<'take-job'>(server.address, { kind: 'take-job', job: 'job' }, LIMIT);
   const opened = await Promise.all(Array.from({ length: CONNECTIONS }, ask));
   t.ok(opened.every((outcome) => outcome.kind === 'answered'));
   server.ignoreOpen();
--- a/test/peers/older-build.test.ts
+++ b/test/peers/older-build.test.ts
@@ -53,15 +53,15 @@
 t.test('an older node is asked once in its life what it does not know', async (t) => {
   const node = await olderNode(t);
   const asker = client(t);
-  t.same(await asker.ask(node.address, LATER, LIMIT), { kind: 'unsupported' });
-  t.same(await asker.ask(node.address, LATER, LIMIT), { kind: 'unsupported' });
-  t.match(await asker.ask(node.address, TAKE_JOB, LIMIT), { kind: 'answered' });
+  t.same(await asker.request(node.address, LATER, LIMIT), { kind: 'unsupported' });
+  t.same(await asker.request(node.address, LATER, LIMIT), { kind: 'unsupported' });
+  t.match(await asker.request(node.address, TAKE_JOB, LIMIT), { kind: 'answered' });
   t.same(node.asked, ['a-later-question', 'take-job']);
   t.equal(node.connections.size, 1, 'its connection is used on');
 
   node.endLife();
   await new Promise((resolve) => setTimeout(resolve, 50));
-  t.same(await asker.ask(node.address, LATER, LIMIT), { kind: 'unsupported' });
+  t.same(await asker.request(node.address, LATER, LIMIT), { kind: 'unsupported' });
   t.equal(node.asked.length, 3, 'its next life may know it');
 });
 
@@ -82,8 +82,8 @@
   const address = `127.0.0.1:${(node.address() as AddressInfo).port}`;
   const asker = client(t);
   const long = { kind: 'take-job', job: 'j'.repeat(2_000) } as const;
-  t.same(await asker.ask(address, long, LIMIT), { kind: 'unsupported' });
-  t.match(await asker.ask(address, TAKE_JOB, LIMIT), { kind: 'answered' });
+  t.same(await asker.request(address, long, LIMIT), { kind: 'unsupported' });
+  t.match(await asker.request(address, TAKE_JOB, LIMIT), { kind: 'answered' });
 });
 
 t.test('answers of an older node are read', async (t) => {
@@ -91,7 +91,7 @@
   const asker = client(t);
   for (const [kind, question] of Object.entries(QUESTIONS)) {
     const request = parse(question) as PeerRequest & { kind: 'take-job' };
-    const outcome = await asker.ask(node.address, request, LIMIT);
+    const outcome = await asker.request(node.address, request, LIMIT);
     const told = parse((ANSWERS as Readonly<Record<string, string>>)[kind] ?? '');
     t.same(outcome, { kind: 'answered', answer: told }, kind);
   }
@@ -129,7 +129,7 @@
 
 t.test('a question of a later build is told to be unknown, without a fault', async (t) => {
   const node = await ownNode(t);
-  t.same(await client(t).ask(node.address, LATER, LIMIT), { kind: 'unsupported' });
+  t.same(await client(t).request(node.address, LATER, LIMIT), { kind: 'unsupported' });
   t.equal(await node.post(stringify(LATER)), 501);
   t.equal(await node.post('no question'), 400);
   t.same(node.faults, []);
@@ -138,5 +138,5 @@
 t.test('fields of a later build do no harm', async (t) => {
   const node = await ownNode(t);
   const later = { ...TAKE_JOB, region: 'north' };
-  t.match(await client(t).ask(node.address, later, LIMIT), { kind: 'answered' });
+  t.match(await client(t).request(node.address, later, LIMIT), { kind: 'answered' });
 });
--- a/test/peers/peer-server.test.ts
+++ b/test/peers/peer-server.test.ts
@@ -21,11 +21,11 @@
     server.stop();
   });
   const address = `127.0.0.1:${port}`;
-  t.same(await client.ask<'probe'>(address, { kind: 'probe', owner: OWNER }, 1_000), {
+  t.same(await client.request<'probe'>(address, { kind: 'probe', owner: OWNER }, 1_000), {
     kind: 'silent',
   });
   t.match(faults, [{ message: 'not now' }]);
-  t.same(await client.ask<'take-job'>(address, { kind: 'take-job', job: 'job' }, 1_000), {
+  t.same(await client.request<'take-job'>(address, { kind: 'take-job', job: 'job' }, 1_000), {
     kind: 'answered',
     answer: { isTaken: true },
   });
@@ -47,7 +47,7 @@
     server.stop();
   });
   const ask = () =>
-    client.ask<'take-job'>(`127.0.0.1:${port}`, { kind: 'take-job', job: 'job' }, 1_000);
+    client.request<'take-job'>(`127.0.0.1:${port}`, { kind: 'take-job', job: 'job' }, 1_000);
   t.same(await ask(), { kind: 'answered', answer: { isTaken: true } });
   const readsOfOne = reads;
   t.same(await ask(), { kind: 'answered', answer: { isTaken: true } });
--- a/test/placement/cold-fleet.ts
+++ b/test/placement/cold-fleet.ts
@@ -43,25 +43,25 @@
       fencingToken: () => this.token,
       tokenValidity: TOKEN_VALIDITY,
       workerOf: (id) => workers.get(id),
-      look: ({ id }) => this.looked.push(id),
+      probe: ({ id }) => this.looked.push(id),
     });
     const wanted = (): void => {
       this.wantsPermits = true;
     };
-    this.rule = new ColdWorkerRule({ ...shared, wanted });
+    this.rule = new ColdWorkerRule({ ...shared, onPermitsNeeded: wanted });
     this.rules = new SendRules([this.rule]);
   }
 
   /** Takes in the answer to a question that was sent at `sentAt`. */
   take(answer: PermitAnswer, sentAt: Milliseconds): boolean {
-    return this.rule.takeAnswer(answer, sentAt, (id) => this.workers.get(id));
+    return this.rule.applyAnswer(answer, sentAt, (id) => this.workers.get(id));
   }
 
   /** Asks a granter that answers at once. */
   ask(granter: ColdGateway): PermitAnswer {
     const sentAt = suspendAwareTime(this.clock);
     this.wantsPermits = false;
-    const answer = granter.granter.answer(this.rule.takeWishes());
+    const answer = granter.granter.answer(this.rule.takeRequests());
     this.take(answer, sentAt);
     return answer;
   }
--- a/test/placement/cold-workers.test.ts
+++ b/test/placement/cold-workers.test.ts
@@ -61,7 +61,7 @@
     const gateways = fleet(2);
     const [granter, asker] = gateways as [ColdGateway, ColdGateway];
     asker.send(COLD, 1);
-    granter.granter.answer(asker.rule.takeWishes());
+    granter.granter.answer(asker.rule.takeRequests());
     t.equal(asker.send(COLD, 1), 0);
     asker.take(NOT_GRANTER, asker.clock.time);
     t.equal(asker.send(COLD, 1), 0);
@@ -84,7 +84,7 @@
   const [granter, asker] = fleet(2) as [ColdGateway, ColdGateway];
   asker.send(COLD, 1);
   const sentAt = asker.clock.time;
-  const answer = granter.granter.answer(asker.rule.takeWishes());
+  const answer = granter.granter.answer(asker.rule.takeRequests());
   asker.clock.time += 300;
   asker.take(answer, sentAt);
   t.equal(asker.send(COLD, 5), 0);
@@ -96,11 +96,11 @@
     const [granter, asker] = fleet(2) as [ColdGateway, ColdGateway];
     asker.send(COLD, 1);
     const sentAt = asker.clock.time;
-    const wishes = asker.rule.takeWishes();
+    const wishes = asker.rule.takeRequests();
     // It stands still for long; another grants meanwhile, and it does not know that yet.
     asker.clock.time += TAKE_OVER + 5_000;
     const answer = granter.granter.answer(wishes);
-    asker.warmth.noteTold(COLD, 3_000, asker.clock.time);
+    asker.warmth.noteReported(COLD, 3_000, asker.clock.time);
     asker.take(answer, sentAt);
     t.equal(asker.send(COLD, 5), 0);
   },
@@ -115,13 +115,13 @@
   before.token = undefined;
   after.token = 8;
   for (let time = 0; time < TAKE_OVER; time += 100) {
-    asker.warmth.noteTold(COLD, 3_000, asker.clock.time);
+    asker.warmth.noteReported(COLD, 3_000, asker.clock.time);
     asker.send(COLD, 1);
     asker.ask(after);
     t.equal(asker.send(COLD, 9), 0);
     pass(gateways, 100);
   }
-  after.warmth.noteTold(COLD, 3_000, after.clock.time);
+  after.warmth.noteReported(COLD, 3_000, after.clock.time);
   asker.send(COLD, 1);
   asker.ask(after);
   t.equal(asker.send(COLD, 9), 2);
@@ -136,7 +136,7 @@
     // The granter of before learns of its loss as late as its token allows.
     if (time >= TOKEN_VALIDITY) before.token = undefined;
     for (const [index, asker] of askers.entries()) {
-      for (const { warmth, clock } of gateways) warmth.noteTold(COLD, 3_000, clock.time);
+      for (const { warmth, clock } of gateways) warmth.noteReported(COLD, 3_000, clock.time);
       asker.send(COLD, 1);
       const mayKnowOnlyBefore = index === 0 && before.token !== undefined;
       asker.ask(mayKnowOnlyBefore ? before : after);
@@ -175,7 +175,7 @@
   async (t) => {
     const warm = worker('w1', { coldFor: 0 });
     const [granter] = fleet(1, warm) as [ColdGateway];
-    granter.warmth.noteTold(warm, 0, granter.clock.time + 1);
+    granter.warmth.noteReported(warm, 0, granter.clock.time + 1);
     const started = new ColdGateway(new Map([[warm.id, warm]]));
     started.warmth.noteRecord(warm);
     started.warmth.noteListed();
@@ -207,13 +207,13 @@
     const [granter, asker] = gateways as [ColdGateway, ColdGateway];
     pass(gateways, 10_000);
     t.equal(asker.send(COLD, 50), 50);
-    asker.warmth.doubt(COLD);
+    asker.warmth.markUnconfirmed(COLD);
     t.equal(asker.send(COLD, 1), 0);
     pass(gateways, 20);
     asker.ask(granter);
     t.same(granter.looked, ['w1'], 'the granter has not heard of the return');
     t.equal(asker.send(COLD, 9), 2, 'under permits');
-    granter.warmth.noteTold(COLD, 2_000, granter.clock.time);
+    granter.warmth.noteReported(COLD, 2_000, granter.clock.time);
     asker.send(COLD, 1);
     asker.ask(granter);
     pass(gateways, 1_900);
--- a/test/placement/distance-costs.test.ts
+++ b/test/placement/distance-costs.test.ts
@@ -75,7 +75,7 @@
   const workers = Object.entries(paces).flatMap(([zone, pace]) =>
     [1, 2].map((number) => {
       const made = new KnownWorker(worker(`${zone}/${number}`, { zone, slots: SLOTS }));
-      made.notePace(pace);
+      made.noteEventInterval(pace);
       return made;
     }),
   );
--- a/test/placement/job-residency.test.ts
+++ b/test/placement/job-residency.test.ts
@@ -53,32 +53,38 @@
 
 t.test('the routes of a job, of its items and of their scores bind, and its tenant', async (t) => {
   const spec = { ...scoredSpecification('job', 2), tenant: 'owner' };
-  t.equal(residencyOf({}).allowedFor(spec), undefined);
-  t.same(residencyOf({ job: ['north', 'south'] }).allowedFor(spec), ['north', 'south']);
-  t.same(residencyOf({ job: ['north', 'south'], score: ['south'] }).allowedFor(spec), ['south']);
-  t.same(residencyOf({ job: ['north'], tenant: ['south'] }).allowedFor(spec), []);
-  t.same(residencyOf({ tenant: ['west'] }).allowedFor(spec), ['west']);
+  t.equal(residencyOf({}).regionsForSpec(spec), undefined);
+  t.same(residencyOf({ job: ['north', 'south'] }).regionsForSpec(spec), ['north', 'south']);
+  t.same(residencyOf({ job: ['north', 'south'], score: ['south'] }).regionsForSpec(spec), [
+    'south',
+  ]);
+  t.same(residencyOf({ job: ['north'], tenant: ['south'] }).regionsForSpec(spec), []);
+  t.same(residencyOf({ tenant: ['west'] }).regionsForSpec(spec), ['west']);
 });
 
 t.test('what a head notes tells the same as the whole job', async (t) => {
   const spec = { ...scoredSpecification('job', 8), tenant: 'owner' };
   const limits = { job: ['north', 'south'], score: ['south', 'west'], tenant: ['south'] };
   const residency = residencyOf(limits);
-  const { requests } = residency.noteFor(spec);
+  const { requests } = residency.headFieldsFor(spec);
   t.equal(requests?.length, 2, 'one for each route');
   const head = { tenant: 'owner', zone: 'north-1', requests };
-  t.same(residency.allowedOf(head), residency.allowedFor(spec));
+  t.same(residency.regionsForOrigin(head), residency.regionsForSpec(spec));
   const inOneRegion = new Map([['north-1', 'north']]);
-  t.same(residencyOf(limits, 'north-1', inOneRegion).noteFor(spec), {}, 'nothing is to be told');
+  t.same(
+    residencyOf(limits, 'north-1', inOneRegion).headFieldsFor(spec),
+    {},
+    'nothing is to be told',
+  );
 });
 
 t.test('a job of an unknown route stays where it was taken in', async (t) => {
   const residency = residencyOf({ job: ['north'] });
   const gone = { zone: 'south-1', requests: [{ host: 'gone.example', path: '/' }] };
-  t.same(residency.allowedOf(gone), ['south']);
-  t.same(residency.allowedOf({ zone: 'south-1' }), ['south'], 'nothing was noted');
-  t.same(residency.allowedOf({ zone: 'south-1', tenant: 'nobody' }), ['south']);
-  t.equal(residency.allowedOf({}), undefined, 'it is not known where that was');
+  t.same(residency.regionsForOrigin(gone), ['south']);
+  t.same(residency.regionsForOrigin({ zone: 'south-1' }), ['south'], 'nothing was noted');
+  t.same(residency.regionsForOrigin({ zone: 'south-1', tenant: 'nobody' }), ['south']);
+  t.equal(residency.regionsForOrigin({}), undefined, 'it is not known where that was');
 });
 
 t.test('a zone that no region is known of may hold only what is not limited', async (t) => {
@@ -133,31 +139,31 @@
     });
     const reached: string[] = [];
     const calls = {
-      ask: async (node: string) => {
+      request: async (node: string) => {
         reached.push(node);
         const kind = fleet.outcomes.next().value;
         if (kind === 'refused' || kind === 'silent') return { kind };
         const failure = kind === 'taken' ? undefined : { kind: 'ledger_unavailable' };
         return { kind: 'answered', answer: { failure } };
       },
-      lives: async (node: string) => {
+      isAlive: async (node: string) => {
         reached.push(node);
         return fleet.outcomes.next().value !== 'silent';
       },
-      reachesStore: async () => true,
-      nodeThatReachesStore: async (_: string, mayAsk: (node: string) => boolean) =>
+      canReachStore: async () => true,
+      findNodeReachingStore: async (_: string, mayAsk: (node: string) => boolean) =>
         live.filter((node) => node !== 'node-0').find(mayAsk),
     } as unknown as PeerRequester;
     const router = new SubmissionRouter({
       ...{ calls, placement, clock, residency },
-      fleet: { isCutOff: fleet.isCutOff } as unknown as FleetRegistry,
+      fleet: { isStoreUnreachable: fleet.isCutOff } as unknown as FleetRegistry,
       self: { ...OWNER, node: 'node-0' },
-      takesJobsAlone: () => false,
+      acceptsJobsWithoutStore: () => false,
     });
     const owners = placement.ownersOf(
       'job',
       undefined,
-      residency.holders(residency.allowedFor(spec)),
+      residency.holderFilter(residency.regionsForSpec(spec)),
     );
     const isAnyInside = live.some(isInside);
     const path = await router.route(spec);
--- a/test/placement/send-rules.test.ts
+++ b/test/placement/send-rules.test.ts
@@ -42,8 +42,8 @@
 
 t.test('work stays in its regions, also where a zone lies in no known one', async (t) => {
   const rules = new SendRules([new ResidencyRule(TOPOLOGY)]);
-  t.equal(rules.obstacleTo(workerIn('south-1'), ['north']), 'region-not-allowed');
-  t.equal(rules.obstacleTo(workerIn('nowhere'), ['north']), 'region-not-allowed');
+  t.equal(rules.rejectionOf(workerIn('south-1'), ['north']), 'region-not-allowed');
+  t.equal(rules.rejectionOf(workerIn('nowhere'), ['north']), 'region-not-allowed');
   t.equal(rules.mayReceive(workerIn('north-2'), ['north']), true);
   t.equal(rules.mayReceive(workerIn('nowhere'), undefined), true);
 });
@@ -53,7 +53,7 @@
   const rules = new SendRules([evacuations]);
   t.equal(evacuations.begin('north-2'), true);
   t.equal(evacuations.begin('north-2'), false, 'told twice');
-  t.equal(rules.obstacleTo(workerIn('north-2'), undefined), 'zone-evacuated');
+  t.equal(rules.rejectionOf(workerIn('north-2'), undefined), 'zone-evacuated');
   t.equal(rules.mayReceive(workerIn('north-1'), undefined), true);
   t.equal(evacuations.end('north-2'), true);
   t.equal(rules.mayReceive(workerIn('north-2'), undefined), true);
@@ -62,7 +62,7 @@
 t.test('a grant is used up once for each request, and only where all rules allow it', async (t) => {
   let granted = 1;
   const grants: SendRule = {
-    obstacleTo: () => (granted > 0 ? undefined : 'worker-cold'),
+    rejectionOf: () => (granted > 0 ? undefined : 'worker-cold'),
     noteSent: () => {
       granted -= 1;
     },
@@ -84,8 +84,8 @@
     const engine = {
       order: async () => 'holds',
       report: async () => undefined,
-      standingOf: async () => 'lives',
-      coldTimeOf: async () => undefined,
+      probeLiveness: async () => 'lives',
+      probeColdTime: async () => undefined,
       forget: () => {},
       send: async ({ requestId }: EngineRequest) => {
         sent.push(requestId);
--- a/test/placement/shared-rate.ts
+++ b/test/placement/shared-rate.ts
@@ -18,7 +18,7 @@
     private readonly alive: () => readonly string[],
   ) {}
 
-  obstacleTo(record: WorkerRecord): SendRejection | undefined {
+  rejectionOf(record: WorkerRecord): SendRejection | undefined {
     if (this.gateway.warmth.of(record, COLD_START).kind === 'warm') return undefined;
     const senders = rendezvousOrder(record.id, this.alive(), (name) => name).slice(0, 2);
     if (!senders.includes(this.name)) return 'worker-cold';
--- a/test/placement/stale-evacuation-rule.test.ts
+++ b/test/placement/stale-evacuation-rule.test.ts
@@ -14,7 +14,7 @@
   });
   const isOutdated = (): boolean => {
     belief.tick();
-    return belief.isOutdated;
+    return belief.isStale;
   };
   return { surroundings, belief, lines, isOutdated };
 }
@@ -25,9 +25,9 @@
   t.notOk(isOutdated());
   surroundings.age = 5_001;
   t.ok(isOutdated());
-  t.equal(belief.obstacleTo(), 'evacuations-unknown');
+  t.equal(belief.rejectionOf(), 'evacuations-unknown');
   surroundings.age = 20;
-  t.equal(belief.obstacleTo(), undefined, 'at once after a contact, before the next tick');
+  t.equal(belief.rejectionOf(), undefined, 'at once after a contact, before the next tick');
   t.same(lines, ['evacuations-unknown', 'evacuations-known']);
 });
 
--- a/test/placement/worker-warmth.test.ts
+++ b/test/placement/worker-warmth.test.ts
@@ -13,11 +13,11 @@
   warmth.noteRecord(COLD);
   const askedAt = clock.time;
   clock.time += 50;
-  warmth.doubt(COLD);
-  warmth.noteTold(COLD, 0, askedAt);
+  warmth.markUnconfirmed(COLD);
+  warmth.noteReported(COLD, 0, askedAt);
   t.equal(warmth.of(COLD, COLD_START).kind, 'doubtful');
   clock.time += 10;
-  warmth.noteTold(COLD, 0, clock.time);
+  warmth.noteReported(COLD, 0, clock.time);
   t.equal(warmth.of(COLD, COLD_START).kind, 'warm');
 });
 
--- a/test/placement/zone-return.ts
+++ b/test/placement/zone-return.ts
@@ -260,7 +260,7 @@
   private ask(gateway: ColdGateway, index: number): void {
     const granter = this.now < NEXT_GRANTER_AT ? GRANTER : GRANTER + 1;
     gateway.wantsPermits = false;
-    const wishes = gateway.rule.takeWishes();
+    const wishes = gateway.rule.takeRequests();
     if (!this.isUp(granter)) return;
     const way = granter === index ? 0 : ANSWER_TIME;
     const sentAt = gateway.clock.now() + gateway.clock.suspendedTime();
--- a/test/platform-adapter/configuration.test.ts
+++ b/test/platform-adapter/configuration.test.ts
@@ -107,8 +107,8 @@
   const services = [{ name: 'one', scaling }, { name: 'two' }];
   const parsed = parseConfiguration(JSON.stringify({ ...CONFIGURATION, services }));
   t.same(parsed?.services[0]?.scaling, {
-    fewest: 1,
-    most: 21,
+    minimum: 1,
+    maximum: 21,
     bootTime: 4_000,
     zonePrices: new Map(Object.entries(scaling.zone_prices)),
   });
--- a/test/platform-adapter/engine-client.test.ts
+++ b/test/platform-adapter/engine-client.test.ts
@@ -318,7 +318,7 @@
   });
   const address = `127.0.0.1:${port}`;
   const standingOf = (startedAt?: number) =>
-    client.standingOf(worker('i-1', { address, startedAt }), '/health');
+    client.probeLiveness(worker('i-1', { address, startedAt }), '/health');
   t.equal(await standingOf(1_000), 'ended');
   t.equal(await standingOf(2_000), 'lives');
   t.equal(await standingOf(), 'lives');
--- a/test/platform-adapter/store-client.test.ts
+++ b/test/platform-adapter/store-client.test.ts
@@ -125,8 +125,8 @@
     { status: 404 },
   );
   t.same(await client.grantLease(2_000), { kind: 'granted', lease: 77, ttl: 2_000 });
-  t.same(await client.keepLease(77), { kind: 'kept' });
-  t.same(await client.keepLease(77), { kind: 'gone' });
+  t.same(await client.renewLease(77), { kind: 'kept' });
+  t.same(await client.renewLease(77), { kind: 'gone' });
   t.equal(calls[1]?.url, '/wardwing/kv-keep/77');
 });
 
--- a/test/serving/request-forwarder.test.ts
+++ b/test/serving/request-forwarder.test.ts
@@ -173,7 +173,7 @@
 
 t.test('the time that is left travels with the request', async (t) => {
   const receivedAt = PROCESS_CLOCK.now() - 1_000;
-  const { engine } = await forward([answer('reply')], {}, { receivedAt, patience: 3_000 });
+  const { engine } = await forward([answer('reply')], {}, { receivedAt, timeout: 3_000 });
   const remaining = engine.requests[0]?.remaining ?? 0;
   t.ok(remaining <= 2_000 && remaining > 0);
 });
@@ -181,7 +181,7 @@
 t.test('when the caller leaves, the worker is cancelled and nothing is answered', async (t) => {
   const gone = new AbortController();
   setTimeout(() => gone.abort(), 20);
-  const { sink, engine } = await forward(['hang'], {}, { gone: gone.signal });
+  const { sink, engine } = await forward(['hang'], {}, { disconnectSignal: gone.signal });
   t.equal(sink.ending, 'open');
   t.equal(engine.cancelled.length, 1);
 });
@@ -209,7 +209,7 @@
   };
   if (leaveAfter === 0) leave();
   else setTimeout(leave, leaveAfter);
-  const forwarded = await forward(scripts, routeFields, { gone: gone.signal });
+  const forwarded = await forward(scripts, routeFields, { disconnectSignal: gone.signal });
   return { ...forwarded, time: performance.now() - leftAt };
 }
 
--- a/test/serving/request-quarantine.test.ts
+++ b/test/serving/request-quarantine.test.ts
@@ -30,11 +30,11 @@
     const { log, lines } = recordingLog();
     this.lines = lines;
     this.quarantine = new RequestQuarantine({
-      standingOf: async () => {
+      probeLiveness: async () => {
         this.questions += 1;
         return this.standing;
       },
-      report: (report) => this.reports.push(report),
+      reportCrash: (report) => this.reports.push(report),
       reportAcquittal: (request) => this.acquittals.push(request),
       clock: this.clock,
       log,
@@ -63,8 +63,8 @@
   const fixture = new Fixture();
   const request = asked('/x');
   await fixture.endUnder(request, ['w1', 'w1']);
-  fixture.quarantine.take({ worker: 'w1', requests: [request.fingerprint] }, 0);
-  t.equal(fixture.quarantine.endedUnder(request).length, 1);
+  fixture.quarantine.applyReport({ worker: 'w1', requests: [request.fingerprint] }, 0);
+  t.equal(fixture.quarantine.crashesUnder(request).length, 1);
 });
 
 t.test('copies side by side count as ended where something speaks against it', async (t) => {
@@ -81,9 +81,9 @@
   fixture.standing = 'lives';
   const request = asked('/x');
   const verdict = fixture.quarantine.noteBroken(worker('w1'), request, 'any-node');
-  t.equal(fixture.quarantine.endedUnder(request).length, 1);
+  t.equal(fixture.quarantine.crashesUnder(request).length, 1);
   await verdict;
-  t.equal(fixture.quarantine.endedUnder(request).length, 0);
+  t.equal(fixture.quarantine.crashesUnder(request).length, 0);
 });
 
 t.test('a worker that does not answer in time counts as ended', async (t) => {
@@ -91,7 +91,7 @@
   fixture.standing = 'unknown';
   const request = asked('/x');
   await fixture.endUnder(request, ['w1']);
-  t.equal(fixture.quarantine.endedUnder(request).length, 1);
+  t.equal(fixture.quarantine.crashesUnder(request).length, 1);
 });
 
 t.test('a worker is asked once for all requests that were there', async (t) => {
@@ -122,7 +122,7 @@
   await eventually(() => fixture.reports.length === 2);
   fixture.quarantine.noteAnswered(request);
   t.same(fixture.acquittals, [request.fingerprint]);
-  t.equal(fixture.quarantine.endedUnder(request).length, 0);
+  t.equal(fixture.quarantine.crashesUnder(request).length, 0);
   fixture.quarantine.noteAnswered(request);
   t.equal(fixture.acquittals.length, 1);
 });
@@ -151,11 +151,11 @@
     t.equal(fixture.questions, 0);
     await fixture.endUnder(request, ['w1']);
     fixture.quarantine.noteGivenUp(worker('w2'), request);
-    await eventually(() => fixture.quarantine.endedUnder(request).length === 2);
+    await eventually(() => fixture.quarantine.crashesUnder(request).length === 2);
     fixture.standing = 'lives';
     fixture.quarantine.noteGivenUp(worker('w3'), request);
     await eventually(() => fixture.questions === 3);
-    t.equal(fixture.quarantine.endedUnder(request).length, 2);
+    t.equal(fixture.quarantine.crashesUnder(request).length, 2);
   },
 );
 
@@ -169,7 +169,7 @@
   t.equal(retryAfter, EVIDENCE_LIFETIME - 5_000);
   fixture.clock.time += retryAfter + 1;
   t.equal(fixture.quarantine.refusalOf(request), undefined);
-  t.equal(fixture.quarantine.endedUnder(request).length, 2);
+  t.equal(fixture.quarantine.crashesUnder(request).length, 2);
 });
 
 t.test('a request of which nothing is known costs no pass over its body', async (t) => {
@@ -185,12 +185,12 @@
 t.test('200,000 ends of workers leave 20,000 requests in memory', async (t) => {
   const fixture = new Fixture();
   for (let index = 0; index < 200_000; index += 1) {
-    fixture.quarantine.take({ worker: 'w1', requests: [`request-${index}`] }, 0);
+    fixture.quarantine.applyReport({ worker: 'w1', requests: [`request-${index}`] }, 0);
   }
   const newest = { fingerprint: 'request-199999' } as FingerprintedRequest;
   const oldest = { fingerprint: 'request-100000' } as FingerprintedRequest;
-  t.equal(fixture.quarantine.endedUnder(newest).length, 1);
-  t.equal(fixture.quarantine.endedUnder(oldest).length, 0);
+  t.equal(fixture.quarantine.crashesUnder(newest).length, 1);
+  t.equal(fixture.quarantine.crashesUnder(oldest).length, 0);
 });
 
 t.test('three lives of one worker that end under a request count as three', async (t) => {
--- a/test/serving/serving-fixtures.ts
+++ b/test/serving/serving-fixtures.ts
@@ -79,10 +79,10 @@
     host: 'site.example',
     headers: [],
     body: Buffer.from('question'),
-    patience: 5_000,
+    timeout: 5_000,
     receivedAt: performance.now(),
     lastEventId: undefined,
-    gone: new AbortController().signal,
+    disconnectSignal: new AbortController().signal,
     ...fields,
   };
 }
@@ -175,11 +175,11 @@
     return this.reports.shift();
   }
 
-  async standingOf(): Promise<WorkerLiveness> {
+  async probeLiveness(): Promise<WorkerLiveness> {
     return 'lives';
   }
 
-  async coldTimeOf(): Promise<undefined> {
+  async probeColdTime(): Promise<undefined> {
     return undefined;
   }
 
@@ -193,8 +193,8 @@
   standingOf: (worker: WorkerRecord) => Promise<WorkerLiveness> = async () => 'lives',
 ): RequestQuarantine {
   return new RequestQuarantine({
-    standingOf,
-    report: () => {},
+    probeLiveness: standingOf,
+    reportCrash: () => {},
     reportAcquittal: () => {},
     clock: PROCESS_CLOCK,
     log: recordingLog().log,
@@ -225,7 +225,7 @@
   end(): void {
     this.ending = 'complete';
   }
-  breakOff(): void {
+  abort(): void {
     this.ending = 'broken';
   }
   fail(failure: Failure): void {
--- a/test/serving/worker-incarnation.test.ts
+++ b/test/serving/worker-incarnation.test.ts
@@ -13,14 +13,14 @@
   t.equal(registry.put(worker('w1', { startedAt: 1_000 })), 'added');
   const before = registry.get('w1');
   before?.noteVersion('model-a', 9);
-  before?.notePace(50);
+  before?.noteEventInterval(50);
   before?.noteLoad({ running: 4, waiting: 3, slots: 4 }, 10);
   before?.noteOutcome('failure', 10);
   t.equal(registry.put(worker('w1', { startedAt: 2_000 })), 'restarted');
   const after = registry.get('w1');
   t.not(after, before);
   t.equal(after?.versionOf('model-a'), 1);
-  t.equal(after?.pace, undefined);
+  t.equal(after?.eventInterval, undefined);
   t.equal(after?.occupancy(11), 0);
   t.notOk(after?.isPenalized(11));
   t.same(registry.available('service'), [after]);
--- a/test/singleton-tasks/scaling-policy.test.ts
+++ b/test/singleton-tasks/scaling-policy.test.ts
@@ -3,8 +3,8 @@
 import { ManualClock } from '../jobs/job-fixtures.js';
 
 const limits = (most: number): Parameters<MaxWorkersPolicy['wanted']>[0] => ({
-  fewest: 1,
-  most,
+  minimum: 1,
+  maximum: most,
   bootTime: 4_000,
   zonePrices: new Map([
     ['a', 1],
--- a/test/singleton-tasks/usage-counts.test.ts
+++ b/test/singleton-tasks/usage-counts.test.ts
@@ -9,10 +9,10 @@
 
 t.test('totals that come again, or late, change nothing', async (t) => {
   const counts = new UsageCounts();
-  counts.take('a', totals(3, { north: 2, south: 1 }));
-  counts.take('a', totals(3, { north: 2, south: 1 }));
-  counts.take('a', totals(3, { north: 1 }));
-  counts.take('b', totals(3, { north: 5 }));
+  counts.merge('a', totals(3, { north: 2, south: 1 }));
+  counts.merge('a', totals(3, { north: 2, south: 1 }));
+  counts.merge('a', totals(3, { north: 1 }));
+  counts.merge('b', totals(3, { north: 5 }));
   t.same(counts.totals(3), { north: 7, south: 1 });
   t.same(counts.totals(4), {});
   t.equal(counts.sourcesOf(3), 2);
@@ -20,12 +20,12 @@
 
 t.test('what is forgotten stays out, what is told on is whole', async (t) => {
   const counts = new UsageCounts();
-  counts.take('a', totals(3, { north: 2 }));
-  counts.take('a', totals(4, { north: 4 }));
+  counts.merge('a', totals(3, { north: 2 }));
+  counts.merge('a', totals(4, { north: 4 }));
   counts.forgetBefore(4);
   t.same(counts.totals(3), {});
   const copy = new UsageCounts();
-  for (const told of counts.since(0)) copy.take(told.source, told.counts);
+  for (const told of counts.since(0)) copy.merge(told.source, told.counts);
   t.same(copy.totals(4), { north: 4 });
 });
 
--- a/test/singleton-tasks/usage-reporter.test.ts
+++ b/test/singleton-tasks/usage-reporter.test.ts
@@ -8,7 +8,7 @@
   const fleet = new UsageFleet();
   const node = fleet.node('one');
   node.meter.noteBegun('north', fleet.clock.now());
-  node.gathered.take(
+  node.gathered.merge(
     'other-life',
     new Map([
       [
@@ -95,7 +95,7 @@
 t.test('counts of open windows outlive their holder', async (t) => {
   const fleet = new UsageFleet();
   const first = fleet.node('one');
-  first.gathered.take('gone-life', new Map([[0, new Map([['north', 4]])]]));
+  first.gathered.merge('gone-life', new Map([[0, new Map([['north', 4]])]]));
   first.meter.noteBegun('north', fleet.clock.now());
   await fleet.pass(2_500, first);
   const second = fleet.node('two');
--- a/test/singleton-tasks/usage-sender.test.ts
+++ b/test/singleton-tasks/usage-sender.test.ts
@@ -30,7 +30,7 @@
     ...{ meter, gathered, records, clock },
     source: 'own-life',
     node: 'own',
-    duties: () => state.duties,
+    taskHolder: () => state.duties,
     liveNodes: () => 10,
     tell: async (holder, _, counts) => {
       told.push({ holder, counts });
@@ -88,7 +88,7 @@
 t.test('a holder that ends leaves what others told it', async (t) => {
   const run = fixture();
   run.duties = { holder: 'own', term: 1 };
-  run.gathered.take('other-life', new Map([[0, new Map([['south', 3]])]]));
+  run.gathered.merge('other-life', new Map([[0, new Map([['south', 3]])]]));
   await run.sender.finish();
   const kept = await run.records.read(0);
   t.match(kept?.counts, [{ source: 'other-life' }]);
--- a/test/singleton-tasks/worker-scaler.test.ts
+++ b/test/singleton-tasks/worker-scaler.test.ts
@@ -8,8 +8,8 @@
 import { StubCloud, StubLock } from './singleton-task-fixtures.js';
 
 const scaling = {
-  fewest: 1,
-  most: 9,
+  minimum: 1,
+  maximum: 9,
   bootTime: 4_000,
   zonePrices: new Map([
     ['zone-1', 1],
