--- a/src/fleet/cold-workers.ts
+++ b/src/fleet/cold-workers.ts
@@ -1,6 +1,7 @@
 /**
- * One node's part in sparing cold workers: it learns which are cold, asks the granter for permits, and grants them
- * while it is the coordinator. The decisions are in `src/placement`; here they meet the fleet.
+ * Protects cold workers from overload on one node: tracks which workers are cold, requests permits
+ * from the granter, and grants permits while this node is the coordinator. The rules are in
+ * `src/placement`.
  */
 import type { NodeId, ZoneName } from '../core/identity.js';
 import { type Milliseconds, type Revision, SECOND } from '../core/units.js';
@@ -17,28 +18,29 @@
 import type { FleetMetrics } from '../telemetry/fleet-metrics.js';
 import { FENCING_TOKEN_VALIDITY } from './coordinator-lock.js';
 
-/** Least time between two questions of this node. */
-const ASK_INTERVAL: Milliseconds = 100;
+/** Minimum time between two requests of this node to the granter. */
+const MIN_REQUEST_INTERVAL: Milliseconds = 100;
 
-/** Least time between two looks at one worker; a look is a health check, which takes the worker's time. */
-const LOOK_INTERVAL: Milliseconds = 500;
+/**
+ * Minimum time between two probes of one worker; each probe is a health check that costs worker
+ * time.
+ */
+const MIN_PROBE_INTERVAL: Milliseconds = 500;
 
-/** Looks under way at once. */
-const MOST_LOOKS = 8;
+const MAX_CONCURRENT_PROBES = 8;
 
 /**
- * Workers that one question may be about without work for them. A question about 3,000 takes 40 ms to write
- * and as long to answer, which a coordinator cannot do for hundreds of nodes that start together.
+ * Maximum number of workers in one status request. Requests about thousands of workers would
+ * overload the coordinator when hundreds of nodes start together.
  */
-const MOST_ASKED_ABOUT = 200;
+const MAX_WORKERS_PER_STATUS_REQUEST = 200;
 
-/** Time between two rounds of counting and forgetting. */
-const REVIEW_INTERVAL: Milliseconds = SECOND;
+/** Time between two runs of maintenance. */
+const MAINTENANCE_INTERVAL: Milliseconds = SECOND;
 
-/** A deployment that names no tolerance wants the rate kept in every second. */
+/** Without a configured tolerance the rate limit holds in every second. */
 const NO_TOLERANCE: ColdTolerance = { factor: 1, requests: 0 };
 
-/** Options of {@link ColdWorkers}. */
 export interface ColdWorkersOptions {
   readonly self: NodeId;
   readonly clock: Clock;
@@ -47,102 +49,104 @@
   readonly tolerance: ColdTolerance | undefined;
   readonly registry: () => WorkerRegistry;
   readonly services: () => readonly Service[];
-  /** The node that coordinates, as far as this one knows. */
+  /** The coordinator, as far as this node knows. */
   readonly coordinator: () => NodeId | undefined;
   readonly fencingToken: () => Revision | undefined;
-  /** Asks another node; `undefined` where no answer came in time. */
-  readonly ask: (
+  /** Requests permits from another node; `undefined` if it did not answer in time. */
+  readonly requestPermits: (
     node: NodeId,
-    wishes: readonly PermitRequest[],
+    requests: readonly PermitRequest[],
   ) => Promise<PermitAnswer | undefined>;
-  /** Asks a worker how long it stays cold. */
-  readonly coldTimeOf: (worker: WorkerRecord) => Promise<Milliseconds | undefined>;
-  /** Whether this node is out of touch with the store, and may miss what the operator does. */
-  readonly isCutOff: () => boolean;
-  /** Called when some worker may be sent more than before. */
-  readonly freed: () => void;
+  /** Asks a worker how long it stays cold; `undefined` if it did not answer. */
+  readonly probeColdTime: (worker: WorkerRecord) => Promise<Milliseconds | undefined>;
+  /** Whether this node cannot reach the store and may miss changes. */
+  readonly isStoreUnreachable: () => boolean;
+  /** Called when some worker may be sent more work than before. */
+  readonly onCapacityFreed: () => void;
 }
 
-/** Knows cold workers, and gets and grants permits for them. */
+/** Tracks cold workers, and requests and grants permits to send to them. */
 export class ColdWorkers {
-  /** Holds for all that this node sends. */
+  /** Applies to every request that this node sends. */
   readonly rule: ColdWorkerRule;
   private readonly warmth: WorkerWarmth;
   private readonly granter: PermitGranter;
   private granterState: GranterState = 'none';
-  private askTimer: NodeJS.Timeout | undefined;
-  private isAsking = false;
+  private requestTimer: NodeJS.Timeout | undefined;
+  private isRequestPending = false;
   private isListed = false;
-  /** Whether a granter has told of the workers that were there before this node. */
-  private isInformed = false;
-  /** Place of the worker that the next question without work begins with. */
-  private nextAskedAbout = 0;
-  private nextAskAt: Milliseconds = 0;
-  private nextReviewAt: Milliseconds = 0;
-  private looksUnderWay = 0;
-  private readonly nextLookAt = new Map<string, Milliseconds>();
+  /** Whether a granter has answered since this node started. */
+  private hasGranterAnswered = false;
+  /** Index of the worker at which the next status request begins. */
+  private nextStatusIndex = 0;
+  private nextRequestAt: Milliseconds = 0;
+  private nextMaintenanceAt: Milliseconds = 0;
+  private pendingProbes = 0;
+  private readonly nextProbeAt = new Map<string, Milliseconds>();
 
   constructor(private readonly options: ColdWorkersOptions) {
     const { clock, metrics, tolerance = NO_TOLERANCE, fencingToken, registry } = options;
     this.warmth = new WorkerWarmth(clock);
     const coldStartOf = (name: string): ColdStart | undefined => this.coldStartOf(name);
     const shared = { clock, metrics, warmth: this.warmth, coldStartOf };
-    this.rule = new ColdWorkerRule({ ...shared, onPermitsNeeded: () => this.askSoon() });
+    this.rule = new ColdWorkerRule({ ...shared, onPermitsNeeded: () => this.scheduleRequest() });
     this.granter = new PermitGranter({
       ...shared,
       tolerance,
       fencingToken,
       tokenValidity: FENCING_TOKEN_VALIDITY,
       workerOf: (id) => registry().get(id)?.record,
-      probe: (worker) => this.lookSoon(worker),
+      probe: (worker) => this.startProbe(worker),
     });
   }
 
-  /** Takes in a worker's record, new or changed. */
+  /** Applies a worker's record, new or changed. */
   noteRecord(record: WorkerRecord): void {
     this.warmth.noteRecord(record);
   }
 
-  /** All workers that were there before this node have been told. */
+  /** The initial list of workers is complete. */
   noteListed(): void {
     this.isListed = true;
     this.warmth.noteListed();
   }
 
-  /** A zone is sent work again; its workers may have turned cold meanwhile. */
-  noteReturned(zone: ZoneName): void {
-    const workers = this.coldStarters().filter((worker) => worker.zone === zone);
+  /** The evacuation of a zone ended; its workers may have become cold meanwhile. */
+  noteEvacuationEnded(zone: ZoneName): void {
+    const workers = this.workersWithColdStart().filter((worker) => worker.zone === zone);
     for (const worker of workers) this.warmth.markUnconfirmed(worker);
     if (workers.length === 0) return;
     this.options.log.state('workers-doubted', { workerZone: zone, workers: workers.length });
   }
 
-  /** Answers another node's wishes. */
-  answer(wishes: readonly PermitRequest[]): PermitAnswer {
-    const answer = this.granter.answer(wishes);
+  /** Answers another node's permit requests. */
+  answerRequests(requests: readonly PermitRequest[]): PermitAnswer {
+    const answer = this.granter.answer(requests);
     if (answer.term === undefined) return NOT_GRANTER;
-    const wanted = wishes.reduce((sum, { permits }) => sum + permits, 0);
+    const requested = requests.reduce((sum, { permits }) => sum + permits, 0);
     const granted = answer.grants.reduce((sum, { permits }) => sum + permits, 0);
     const { metrics } = this.options;
     metrics.count('cold_permits', { state: 'granted' }, granted);
-    metrics.count('cold_permits', { state: 'refused' }, wanted - granted);
+    metrics.count('cold_permits', { state: 'refused' }, requested - granted);
     return answer;
   }
 
-  /** Regular work. */
   tick(): void {
     const now = this.options.clock.now();
-    const isReviewDue = now >= this.nextReviewAt;
-    if (isReviewDue) this.review(now);
+    const isMaintenanceDue = now >= this.nextMaintenanceAt;
+    if (isMaintenanceDue) this.runMaintenance(now);
     if (!this.options.services().some(({ coldStart }) => coldStart !== undefined)) return;
-    this.followGranter();
-    // Before callers come, if possible: what is not known to be warm is not sent their requests.
-    const isNew = this.isListed && !this.isInformed && now >= this.nextAskAt;
-    const asksAtStart = isNew && this.isFleetSmall;
-    if (asksAtStart || (isReviewDue && this.options.isCutOff())) void this.askAboutSome();
+    this.updateGranterState();
+    // Status is requested before callers arrive, if possible: a worker that is not known to be warm
+    // gets no requests of theirs.
+    const needsInitialStatus =
+      this.isListed && !this.hasGranterAnswered && now >= this.nextRequestAt;
+    const requestsInitialStatus = needsInitialStatus && this.isFleetSmall;
+    if (requestsInitialStatus || (isMaintenanceDue && this.options.isStoreUnreachable()))
+      void this.requestSomeStatus();
   }
 
-  private followGranter(): void {
+  private updateGranterState(): void {
     const { log, metrics } = this.options;
     const state = this.granter.observe();
     if (state === this.granterState) return;
@@ -151,16 +155,22 @@
     metrics.set('grants_cold_permits', state === 'open' ? 1 : 0);
   }
 
-  /** Forgets what is over, and counts; also where no service has a cold start, as one may get it. */
-  private review(now: Milliseconds): void {
+  /**
+   * Drops expired state and sets the gauge; runs also without any cold start configured, as a
+   * change of the configuration may add one.
+   */
+  private runMaintenance(now: Milliseconds): void {
     const { registry, metrics } = this.options;
-    this.nextReviewAt = now + REVIEW_INTERVAL;
+    this.nextMaintenanceAt = now + MAINTENANCE_INTERVAL;
     const isKnown = (id: string): boolean => registry().get(id) !== undefined;
     this.warmth.retain(isKnown);
     this.granter.prune();
     this.rule.prune();
-    for (const [id, at] of this.nextLookAt) if (at < now) this.nextLookAt.delete(id);
-    metrics.set('cold_workers', this.coldStarters().filter((one) => this.needsPermit(one)).length);
+    for (const [id, at] of this.nextProbeAt) if (at < now) this.nextProbeAt.delete(id);
+    metrics.set(
+      'cold_workers',
+      this.workersWithColdStart().filter((one) => this.needsPermit(one)).length,
+    );
   }
 
   private needsPermit(worker: WorkerRecord): boolean {
@@ -168,7 +178,7 @@
     return coldStart !== undefined && this.warmth.of(worker, coldStart).kind !== 'warm';
   }
 
-  private isDoubtful(worker: WorkerRecord): boolean {
+  private isUnconfirmed(worker: WorkerRecord): boolean {
     const coldStart = this.coldStartOf(worker.service);
     return coldStart !== undefined && this.warmth.of(worker, coldStart).kind === 'doubtful';
   }
@@ -178,107 +188,114 @@
   }
 
   /** Workers of services that have a cold start. */
-  private coldStarters(): WorkerRecord[] {
+  private workersWithColdStart(): WorkerRecord[] {
     const workers = this.options.registry().all();
-    const isStarter = ({ service }: WorkerRecord): boolean =>
+    const hasColdStart = ({ service }: WorkerRecord): boolean =>
       this.coldStartOf(service) !== undefined;
-    return workers.map(({ record }) => record).filter(isStarter);
+    return workers.map(({ record }) => record).filter(hasColdStart);
   }
 
-  /** All that one turn wishes for goes in one question. */
-  private askSoon(): void {
-    if (this.askTimer !== undefined || this.isAsking) return;
-    const pause = Math.max(0, this.nextAskAt - this.options.clock.now());
-    this.askTimer = setTimeout(() => {
-      this.askTimer = undefined;
-      void this.ask(this.rule.takeRequests());
-    }, pause);
-    this.askTimer.unref();
+  /** Sends all requests of one turn of the event loop together. */
+  private scheduleRequest(): void {
+    if (this.requestTimer !== undefined || this.isRequestPending) return;
+    const delay = Math.max(0, this.nextRequestAt - this.options.clock.now());
+    this.requestTimer = setTimeout(() => {
+      this.requestTimer = undefined;
+      void this.sendRequests(this.rule.takeRequests());
+    }, delay);
+    this.requestTimer.unref();
   }
 
   /**
-   * Whether one question may be about all workers; in a larger fleet work for them brings the questions.
-   * Looked at in each tick, so workers are counted without a look at their services.
+   * Whether one status request covers all workers; in a larger fleet each node asks only about
+   * workers that it has work for. Checked in each tick, so it counts workers without a lookup of
+   * their services.
    */
   private get isFleetSmall(): boolean {
-    return this.options.registry().all().length <= MOST_ASKED_ABOUT;
+    return this.options.registry().all().length <= MAX_WORKERS_PER_STATUS_REQUEST;
   }
 
   /**
-   * Without permits: what a node that has just started, or is out of touch with the store, may have missed.
-   * All workers take their turn, so many in each question.
+   * Requests the status of workers, without permits, for what a node that has just started or lost
+   * the store may have missed. Successive requests cover all workers in turn.
    */
-  private askAboutSome(): Promise<void> {
-    const workers = this.coldStarters();
-    if (this.isAsking || workers.length === 0) return Promise.resolve();
-    const first = this.nextAskedAbout % workers.length;
-    const inTurn = [...workers.slice(first), ...workers.slice(0, first)];
-    this.nextAskedAbout = first + MOST_ASKED_ABOUT;
-    const wishes = inTurn.slice(0, MOST_ASKED_ABOUT).map((worker) => ({
+  private requestSomeStatus(): Promise<void> {
+    const workers = this.workersWithColdStart();
+    if (this.isRequestPending || workers.length === 0) return Promise.resolve();
+    const first = this.nextStatusIndex % workers.length;
+    const rotated = [...workers.slice(first), ...workers.slice(0, first)];
+    this.nextStatusIndex = first + MAX_WORKERS_PER_STATUS_REQUEST;
+    const requests = rotated.slice(0, MAX_WORKERS_PER_STATUS_REQUEST).map((worker) => ({
       worker: worker.id,
       life: workerIncarnationOf(worker),
       permits: 0,
       doubtAge: undefined,
     }));
-    return this.ask(wishes);
+    return this.sendRequests(requests);
   }
 
-  private async ask(wishes: readonly PermitRequest[]): Promise<void> {
-    const { clock, registry, freed } = this.options;
-    if (wishes.length === 0 || this.isAsking) return;
-    this.isAsking = true;
-    this.nextAskAt = clock.now() + ASK_INTERVAL;
+  private async sendRequests(requests: readonly PermitRequest[]): Promise<void> {
+    const { clock, registry, onCapacityFreed } = this.options;
+    if (requests.length === 0 || this.isRequestPending) return;
+    this.isRequestPending = true;
+    this.nextRequestAt = clock.now() + MIN_REQUEST_INTERVAL;
     const sentAt = suspendAwareTime(clock);
-    const answer = await this.answerOfGranter(wishes);
-    this.isAsking = false;
-    // What was wished for meanwhile found no timer to wait for.
-    if (this.rule.hasRequests) this.askSoon();
-    if (answer?.term === undefined) this.lookWithoutGranter(wishes);
+    const answer = await this.queryGranter(requests);
+    this.isRequestPending = false;
+    // Requests added meanwhile did not start a timer.
+    if (this.rule.hasRequests) this.scheduleRequest();
+    if (answer?.term === undefined) this.probeWithoutGranter(requests);
     if (answer === undefined) return;
-    this.isInformed ||= answer.term !== undefined;
-    const isAnyFree = this.rule.applyAnswer(answer, sentAt, (id) => registry().get(id)?.record);
-    if (isAnyFree) freed();
+    this.hasGranterAnswered ||= answer.term !== undefined;
+    const isCapacityFreed = this.rule.applyAnswer(
+      answer,
+      sentAt,
+      (id) => registry().get(id)?.record,
+    );
+    if (isCapacityFreed) onCapacityFreed();
   }
 
-  private async answerOfGranter(
-    wishes: readonly PermitRequest[],
+  private async queryGranter(
+    requests: readonly PermitRequest[],
   ): Promise<PermitAnswer | undefined> {
-    const { self, coordinator, ask } = this.options;
+    const { self, coordinator, requestPermits } = this.options;
     const granter = coordinator();
     if (granter === undefined) return undefined;
-    return granter === self ? this.answer(wishes) : ask(granter, wishes);
+    return granter === self ? this.answerRequests(requests) : requestPermits(granter, requests);
   }
 
   /**
-   * Without a granter nobody tells that a doubtful worker is warm, as after a start of all gateways: this
-   * node looks itself at those that it would send work to.
+   * Without a granter, as after a restart of all gateways, nobody confirms that a worker is warm:
+   * this node probes the unconfirmed workers that it has work for.
    */
-  private lookWithoutGranter(wishes: readonly PermitRequest[]): void {
-    for (const { worker, permits } of wishes) {
+  private probeWithoutGranter(requests: readonly PermitRequest[]): void {
+    for (const { worker, permits } of requests) {
       const record = this.options.registry().get(worker)?.record;
-      if (permits > 0 && record !== undefined && this.isDoubtful(record)) this.lookSoon(record);
+      if (permits > 0 && record !== undefined && this.isUnconfirmed(record))
+        this.startProbe(record);
     }
   }
 
-  private lookSoon(worker: WorkerRecord): void {
+  private startProbe(worker: WorkerRecord): void {
     const now = this.options.clock.now();
-    if (this.looksUnderWay >= MOST_LOOKS || now < (this.nextLookAt.get(worker.id) ?? 0)) return;
-    this.nextLookAt.set(worker.id, now + LOOK_INTERVAL);
-    this.looksUnderWay += 1;
-    void this.look(worker).finally(() => {
-      this.looksUnderWay -= 1;
+    if (this.pendingProbes >= MAX_CONCURRENT_PROBES || now < (this.nextProbeAt.get(worker.id) ?? 0))
+      return;
+    this.nextProbeAt.set(worker.id, now + MIN_PROBE_INTERVAL);
+    this.pendingProbes += 1;
+    void this.probe(worker).finally(() => {
+      this.pendingProbes -= 1;
     });
   }
 
-  private async look(worker: WorkerRecord): Promise<void> {
-    const { clock, log, metrics, coldTimeOf } = this.options;
-    const askedAt = clock.now();
-    const coldFor = await coldTimeOf(worker);
+  private async probe(worker: WorkerRecord): Promise<void> {
+    const { clock, log, metrics, probeColdTime } = this.options;
+    const sentAt = clock.now();
+    const coldFor = await probeColdTime(worker);
     const found = coldFor === undefined ? 'unknown' : coldFor > 0 ? 'cold' : 'warm';
     metrics.count('warmth_looks', { found });
     if (coldFor === undefined) return;
-    this.warmth.noteReported(worker, coldFor, askedAt);
-    if (coldFor === 0) this.options.freed();
+    this.warmth.noteReported(worker, coldFor, sentAt);
+    if (coldFor === 0) this.options.onCapacityFreed();
     log.state('worker-warmth-told', { worker: worker.id, workerZone: worker.zone, coldFor });
   }
 }
--- a/src/fleet/gateway-node.ts
+++ b/src/fleet/gateway-node.ts
@@ -1,6 +1,6 @@
 /**
- * A gateway of the fleet: joins configuration, workers, requests, jobs and, on one node at a time,
- * the coordination of weights. Everything outside it is reached through ports.
+ * A gateway of the fleet: connects configuration, workers, requests, jobs and, on the coordinator,
+ * weight rollouts and singleton tasks. All I/O goes through ports.
  */
 
 import { randomUUID } from 'node:crypto';
@@ -41,37 +41,35 @@
 import { PeerMonitor, type Suspicion } from './peer-monitor.js';
 import { PeerRequestHandler } from './peer-request-handler.js';
 import { WatchRelay } from './watch-relay.js';
-import { noteWeightChange, type WeightChange } from './weight-changes.js';
+import { applyWeightChange, type WeightChange } from './weight-changes.js';
 import { WorkerGate } from './worker-gate.js';
 import { WorkerRoster } from './worker-roster.js';
 import { ZoneAutonomy } from './zone-autonomy.js';
 
-/** Time between two rounds of regular work. */
+/** Time between two ticks. */
 const TICK_INTERVAL: Milliseconds = 50;
 
-/** The same while this node runs no jobs and gives no orders. */
+/** Time between two ticks while this node runs no jobs and is not the coordinator. */
 const IDLE_TICK_INTERVAL: Milliseconds = 300;
 
-/** Time between two looks at which duties this node has. */
-const DUTY_INTERVAL: Milliseconds = 500;
+/** Time between two checks whether this node needs a short lease. */
+const LEASE_CHECK_INTERVAL: Milliseconds = 500;
 
-/** Time by which each watching node lets the one before it take over first. */
-const SUSPICION_RANK_DELAY: Milliseconds = 500;
+/** Delay per rank among the nodes that suspect the same node, so that takeovers rarely race. */
+const TAKEOVER_RANK_DELAY: Milliseconds = 500;
 
-/** Time between two lines with all counters. */
-const REPORT_INTERVAL: Milliseconds = 10_000;
+const COUNTER_LOG_INTERVAL: Milliseconds = 10_000;
 
-/** Time that a stopping node spends on handing its jobs over. */
-const RELEASE_LIMIT: Milliseconds = 2_500;
+/** Time limit for releasing jobs at a stop. */
+const JOB_RELEASE_TIMEOUT: Milliseconds = 2_500;
 
-/** Where workers of a service that is no longer configured tell their health. */
+/** Health path of workers whose service is no longer configured. */
 const DEFAULT_HEALTH_PATH = '/health';
 
-/** One gateway. */
 export class GatewayNode {
-  private readonly gate: WorkerGate;
+  private readonly workerGate: WorkerGate;
   readonly registry: WorkerRegistry;
-  /** The configuration that this node acts on. */
+  /** The configuration that this node applies. */
   readonly configuration: ActiveConfiguration;
   readonly jobs: JobService;
   private readonly forwarder: RequestForwarder;
@@ -83,46 +81,48 @@
   private readonly roster: WorkerRoster;
   private readonly takeover: JobTakeover;
   private readonly monitor: PeerMonitor;
-  /** Answers the questions of other nodes. */
+  /** Answers requests of other nodes. */
   readonly peerHandler: PeerHandler;
   private readonly relay: WatchRelay;
   private readonly placement: JobPlacement;
   private readonly autonomy: ZoneAutonomy;
   private readonly coordination: Coordination;
-  /** Holds requests that come before this node can serve. */
+  /** Holds requests that arrive before this node can serve them. */
   readonly startGate = new StartGate();
-  private workersListed = false;
+  private areWorkersListed = false;
   private isStopping = false;
-  private nextDutyLookAt: Milliseconds = 0;
-  /** Suspensions that were acted on. */
-  private knownSuspended: Milliseconds = 0;
+  private nextLeaseCheckAt: Milliseconds = 0;
+  /** Total suspended time that has been handled. */
+  private handledSuspension: Milliseconds = 0;
   private ticker: NodeJS.Timeout | undefined;
   private reporter: NodeJS.Timeout | undefined;
 
   constructor(private readonly options: GatewayNodeOptions) {
     const { clock, log, metrics, peers: port, zone } = options;
     const self = { node: options.node, incarnation: randomUUID(), address: options.peerAddress };
-    const { node, areZonesAutonomous: servesAlone = false } = options;
+    const { node, areZonesAutonomous = false } = options;
     const topology = new ZoneTopology(zone, options.zoneRegions ?? new Map());
-    const localities = localitiesOf(topology, servesAlone);
+    const localities = localitiesOf(topology, areZonesAutonomous);
     const distanceBetween: DistanceBetween = (...zones) => topology.distanceBetween(...zones);
-    this.gate = new WorkerGate({
+    this.workerGate = new WorkerGate({
       ...{ node: options, topology },
       services: () => this.configuration.services,
       healthPathOf: (worker) => this.healthPathOf(worker),
       contactAge: () => this.relay.contactAge(options.feeds.operatorPrefix),
       hasPeers: () => this.fleet.liveNodes().some((name) => name !== node),
-      isCutOff: () => this.fleet.isStoreUnreachable,
+      isStoreUnreachable: () => this.fleet.isStoreUnreachable,
       coordinator: () => this.coordination.holder,
       fencingToken: () => this.coordination.lock.fencingToken(),
-      askForPermits: (...question) => peers.requestPermits(...question),
-      freed: () => this.dispatcher.schedule(),
+      requestPermits: (...query) => peers.requestPermits(...query),
+      onCapacityFreed: () => this.dispatcher.schedule(),
     });
-    this.registry = this.gate.registry;
-    const direct = meteredStore(options.store, metrics, clock, () => this.fleet.renewLeaseSoon());
+    this.registry = this.workerGate.registry;
+    const directStore = meteredStore(options.store, metrics, clock, () =>
+      this.fleet.renewLeaseSoon(),
+    );
     const boundPrefixes = [options.feeds.operatorPrefix, options.feeds.workerPrefix];
     const relay = new WatchRelay({
-      store: direct,
+      store: directStore,
       peers: port,
       fleet: () => this.fleet,
       self: node,
@@ -143,7 +143,7 @@
       isRegionKnown: (region) => topology.hasRegion(region),
     });
     const routes = (): RouteMatcher | undefined => this.configuration.routes;
-    const { engine } = this.gate;
+    const { engine } = this.workerGate;
     const shared = { ...options, engine, store, self, routes, registry: this.registry };
     this.fleet = new FleetRegistry(shared);
     this.placement = new JobPlacement({
@@ -159,29 +159,30 @@
     this.roster = new WorkerRoster({ ...shared, fleet: this.fleet });
     const autonomy = new ZoneAutonomy({
       ...{ self, zone, fleet: this.fleet, port, clock, metrics },
-      isEnabled: servesAlone,
+      isEnabled: areZonesAutonomous,
       groupSize: options.journalReplicas ?? 0,
     });
     this.autonomy = autonomy;
     const { journals } = autonomy;
-    const asked = {
+    const peerOptions = {
       ...{ port, self, zone, distanceBetween, clock, metrics },
       ...{ fleet: this.fleet, placement: this.placement },
       lock: () => this.coordination.lock,
       onWeightsNeeded: (need: WeightNeed) => this.coordination.requireWeights(need),
       onWeightChanged: (change: WeightChange) =>
-        noteWeightChange(this.registry, change, clock.now()),
+        applyWeightChange(this.registry, change, clock.now()),
       acceptsJobsWithoutStore: () => autonomy.acceptsJobsWithoutStore,
       residency,
     };
-    const peers = new FleetPeers(asked);
+    const peers = new FleetPeers(peerOptions);
     this.peerHandler = new PeerRequestHandler({
-      ...asked,
+      ...peerOptions,
       jobs: () => this.jobs,
       relay: () => relay,
       onWorkerCrashed: (report) => this.quarantine.applyReport(report, clock.now()),
-      permits: (wishes) => this.gate.answerWishes(wishes),
-      onUsageReported: (source, counts) => this.coordination.singletonTasks?.take(source, counts),
+      permits: (requests) => this.workerGate.answerPermitRequests(requests),
+      onUsageReported: (source, counts) =>
+        this.coordination.singletonTasks?.applyUsage(source, counts),
     });
     this.crashReports = new CrashReports({
       ...shared,
@@ -201,22 +202,22 @@
       reportAcquittal: (request) => this.crashReports.withdraw(request),
     });
     this.quarantine = quarantine;
-    const sending = { ...shared, quarantine };
+    const sendOptions = { ...shared, quarantine };
     this.forwarder = new RequestForwarder({
-      ...sending,
+      ...sendOptions,
       noteBegun: (tenant, at) => this.coordination.singletonTasks?.meter?.noteBegun(tenant, at),
     });
     this.dispatcher = new ItemDispatcher({
-      ...sending,
+      ...sendOptions,
       isStoreUnreachable: () => this.fleet.isStoreUnreachable,
-      distanceCost: itemDistanceCost(topology, servesAlone),
+      distanceCost: itemDistanceCost(topology, areZonesAutonomous),
     });
     this.jobs = new JobService({
       ...shared,
       store: jobStore,
       reader: new JobReader(
         jobStore,
-        (...question) => peers.ownerListing(...question),
+        (...query) => peers.ownerListing(...query),
         (job) => peers.likelyOwners(job),
         journals,
         residency,
@@ -229,7 +230,7 @@
       retention: () => options.timings().jobRetention,
     });
     this.feeds = new FleetFeeds({ store, translation: options.feeds, log });
-    this.feeds.events.subscribe((event) => this.take(event));
+    this.feeds.events.subscribe((event) => this.applyEvent(event));
     this.fleet.storeReconnected.subscribe(() => this.feeds.restart());
     const { fleet, jobs: service } = this;
     this.takeover = new JobTakeover({
@@ -239,7 +240,7 @@
       self,
       ...{ placement: this.placement, residency },
       peers: port,
-      adoptElsewhere: (...adoption) => peers.requestTakeover(...adoption),
+      requestTakeover: (...takeover) => peers.requestTakeover(...takeover),
     });
     this.monitor = new PeerMonitor({
       ...{ fleet, peers: port, self, clock, log },
@@ -250,7 +251,7 @@
       ...{ node: options, self, store, fleet, peers },
       registry: this.registry,
       configuration: this.configuration,
-      isEvacuated: (zoneName) => this.gate.isEvacuated(zoneName),
+      isEvacuated: (zoneName) => this.workerGate.isEvacuated(zoneName),
       localities,
       isStorageEmpty: (name) => autonomy.isStorageEmpty(name),
       takeOverUnownedJobs: () => void this.takeover.sweep(),
@@ -261,69 +262,69 @@
     });
   }
 
-  /** Begins to take part in the fleet. */
+  /** Joins the fleet. */
   start(): void {
     void this.fleet.start().then(() => this.feeds.start());
     this.monitor.start();
     this.coordination.start();
     this.scheduleTick();
-    this.reporter = setInterval(() => this.report(), REPORT_INTERVAL);
+    this.reporter = setInterval(() => this.report(), COUNTER_LOG_INTERVAL);
   }
 
-  /** Whether callers should be sent here. */
+  /** Whether this node accepts callers: it is configured, knows its workers, is not stopping, and its evacuation state is not stale. */
   get isReady(): boolean {
-    if (this.isStopping || this.gate.isOutdated) return false;
-    return this.configuration.version !== undefined && this.workersListed;
+    if (this.isStopping || this.workerGate.isEvacuationStateStale) return false;
+    return this.configuration.version !== undefined && this.areWorkersListed;
   }
 
-  /** Nodes that live, as far as this one knows. */
+  /** Count of live nodes, by this node's registry. */
   get liveNodes(): number {
     return this.fleet.liveNodes().length;
   }
 
-  /** Takes in what changed outside the fleet. */
-  take(event: FleetEvent): void {
-    if (event.kind === 'configuration') this.takeConfiguration(event.configuration);
-    else if (event.kind === 'worker') this.takeWorker(event.record);
-    else if (event.kind === 'worker-gone') this.roster.noteGone(event.worker);
-    else if (event.kind === 'worker-unreadable') this.roster.noteUnreadable(event.worker);
+  /** Applies a change that the shared store reports. */
+  applyEvent(event: FleetEvent): void {
+    if (event.kind === 'configuration') this.applyConfiguration(event.configuration);
+    else if (event.kind === 'worker') this.applyWorker(event.record);
+    else if (event.kind === 'worker-gone') this.roster.handleRemoval(event.worker);
+    else if (event.kind === 'worker-unreadable') this.roster.handleUnreadable(event.worker);
     else if (event.kind === 'workers-listed') this.noteWorkersListed();
     else if (event.kind === 'version-named')
       this.coordination.noteNamedVersion(event.model, event.version);
-    else if (event.kind === 'storage-drain') this.takeStorageDrain(event.node);
-    else if (event.kind === 'zone-evacuated') this.gate.evacuate(event.zone);
-    else if (event.kind === 'zone-returned') this.gate.endEvacuation(event.zone);
+    else if (event.kind === 'storage-drain') this.startStorageDrain(event.node);
+    else if (event.kind === 'zone-evacuated') this.workerGate.evacuate(event.zone);
+    else if (event.kind === 'zone-returned') this.workerGate.endEvacuation(event.zone);
     else this.options.log.state('record-unreadable', { key: event.key });
   }
 
-  private takeConfiguration(configuration: TrafficConfiguration): void {
+  private applyConfiguration(configuration: TrafficConfiguration): void {
     if (this.configuration.apply(configuration)) this.dispatcher.schedule();
-    this.openWhenKnown();
+    this.openStartGateIfReady();
   }
 
   private noteWorkersListed(): void {
-    this.workersListed = true;
-    this.gate.noteListed();
-    this.openWhenKnown();
+    this.areWorkersListed = true;
+    this.workerGate.noteListed();
+    this.openStartGateIfReady();
   }
 
-  private openWhenKnown(): void {
-    if (this.configuration.version !== undefined && this.workersListed) this.startGate.open();
+  private openStartGateIfReady(): void {
+    if (this.configuration.version !== undefined && this.areWorkersListed) this.startGate.open();
   }
 
-  /** A storage machine is to be emptied: it gets no new jobs, and is reported once it holds none. */
-  private takeStorageDrain(node: string): void {
+  /** Starts to drain a storage node: it gets no new jobs, and is reported once it holds none. */
+  private startStorageDrain(node: string): void {
     this.autonomy.noteDraining(node);
     this.coordination.drainStorage(node);
   }
 
-  private takeWorker(record: WorkerRecord): void {
+  private applyWorker(record: WorkerRecord): void {
     this.roster.put(record);
-    this.gate.noteRecord(record);
+    this.workerGate.noteRecord(record);
     this.dispatcher.schedule();
   }
 
-  /** Forwards a request and answers it. */
+  /** Forwards a request to a worker and streams the answer to `sink`. */
   async forward(request: CallerRequest, route: Route, sink: AnswerSink): Promise<void> {
     const service = this.configuration.nextService(route);
     if (service === undefined) return sink.fail(failure('no_worker', 'the route has no service'));
@@ -331,22 +332,22 @@
   }
 
   private healthPathOf({ service }: WorkerRecord): string {
-    const known = this.configuration.services.find(({ name }) => name === service);
-    return known?.healthPath ?? DEFAULT_HEALTH_PATH;
+    const configured = this.configuration.services.find(({ name }) => name === service);
+    return configured?.healthPath ?? DEFAULT_HEALTH_PATH;
   }
 
-  /** Takes a job in; `undefined` means that it is kept. */
-  submit(spec: JobSpecification, wanted: () => boolean): Promise<Failure | undefined> {
-    return this.jobs.submit(spec, wanted);
+  /** Accepts a job; `undefined` means that the job is stored. */
+  submit(spec: JobSpecification, isStillNeeded: () => boolean): Promise<Failure | undefined> {
+    return this.jobs.submit(spec, isStillNeeded);
   }
 
-  /** Says at once that no more callers are wanted; what runs goes on. */
+  /** Reports this node as not ready; running work continues. */
   beginStop(): void {
     this.isStopping = true;
     this.options.log.state('stopping');
   }
 
-  /** Hands jobs over and leaves the fleet. */
+  /** Releases the jobs and leaves the fleet. */
   async stop(): Promise<void> {
     this.isStopping = true;
     this.dispatcher.stop();
@@ -355,13 +356,15 @@
     clearTimeout(this.ticker);
     clearInterval(this.reporter);
     this.report();
-    const limit = this.options.clock.now() + RELEASE_LIMIT;
+    const limit = this.options.clock.now() + JOB_RELEASE_TIMEOUT;
     await this.jobs.release(() => this.options.clock.now() < limit);
     await this.fleet.stop();
     this.feeds.stop();
   }
 
-  /** After the last request has ended: nothing that was counted is lost. */
+  /**
+   * Sends the remaining usage counts and crash reports; called after the last request has ended.
+   */
   async finish(): Promise<void> {
     this.quarantine.settle();
     await Promise.all([this.coordination.finish(), this.crashReports.flush()]);
@@ -375,7 +378,7 @@
     }, interval);
   }
 
-  /** Whether this node has work that is due at any moment. */
+  /** Whether this node runs jobs or is, or may become, the coordinator. */
   private get isBusy(): boolean {
     const { holder } = this.coordination;
     if (holder === undefined || holder === this.options.node) return true;
@@ -383,25 +386,25 @@
   }
 
   private tick(): void {
-    this.lookForSuspension();
-    this.gate.tick();
+    this.handleSuspension();
+    this.workerGate.tick();
     this.jobs.tick();
     this.dispatcher.tick();
     if (this.isStopping) return;
-    this.lookAtDuties();
+    this.shortenLeaseIfNeeded();
     this.coordination.tick();
   }
 
   /**
-   * After a suspension leases may be over and connections dead, while timers still wait for what was
-   * left of them: all watches begin anew, and the lease is renewed.
+   * After a suspension leases may have expired and connections may be dead, while timers still wait
+   * for their remaining time: restarts all watches and renews the lease.
    */
-  private lookForSuspension(): void {
+  private handleSuspension(): void {
     const { clock, log, metrics } = this.options;
-    const suspended = clock.suspendedTime();
-    const lengthMs = Math.round(suspended - this.knownSuspended);
+    const suspendedTime = clock.suspendedTime();
+    const lengthMs = Math.round(suspendedTime - this.handledSuspension);
     if (lengthMs === 0) return;
-    this.knownSuspended = suspended;
+    this.handledSuspension = suspendedTime;
     metrics.count('suspensions', {});
     log.state('suspended', { lengthMs, renewalAgeMs: Math.round(this.fleet.renewalAge()) });
     this.fleet.noteSuspended();
@@ -409,29 +412,35 @@
     this.feeds.restart();
   }
 
-  /** A node that would be missed at once keeps a lease that lapses soon. */
-  private lookAtDuties(): void {
+  /**
+   * A node whose failure must be detected at once (it runs jobs, owns jobs or relays) renews a
+   * short lease.
+   */
+  private shortenLeaseIfNeeded(): void {
     const now = this.options.clock.now();
-    if (this.fleet.requiresShortLease || now < this.nextDutyLookAt) return;
-    this.nextDutyLookAt = now + DUTY_INTERVAL;
+    if (this.fleet.requiresShortLease || now < this.nextLeaseCheckAt) return;
+    this.nextLeaseCheckAt = now + LEASE_CHECK_INTERVAL;
     const { node } = this.options;
     const runsJobs = this.jobs.ownedJobs().some((job) => job.isOpen);
     const isOwner = this.placement.owners().includes(node);
     if (runsJobs || isOwner || this.relay.isRelay) this.fleet.requireShortLease();
   }
 
-  /** The nodes that watch a suspected one act in turn, so that they rarely race. */
+  /**
+   * Delays the takeover by this node's rank, so that the nodes that suspect the same node rarely
+   * race.
+   */
   private takeOverFrom({ owner, ownerAnswers, rank }: Suspicion): void {
     this.placement.noteUnresponsive(owner.node);
     setTimeout(() => {
       if (this.isStopping || !this.monitor.isSuspected(owner)) return;
       const isStillSuspected = (): boolean => this.monitor.isSuspected(owner);
-      void this.takeover.takeFrom(owner, ownerAnswers, isStillSuspected);
+      void this.takeover.takeOverFrom(owner, ownerAnswers, isStillSuspected);
       void this.coordination.lock.takeOverFrom(owner);
-    }, rank * SUSPICION_RANK_DELAY);
+    }, rank * TAKEOVER_RANK_DELAY);
   }
 
-  /** Sets the gauges and writes the counters as one line. */
+  /** Sets the gauges and logs all counters as one line. */
   private report(): void {
     const { metrics, log } = this.options;
     metrics.set('configuration_version', this.configuration.version ?? 0);
--- a/src/fleet/gateway-options.ts
+++ b/src/fleet/gateway-options.ts
@@ -1,4 +1,4 @@
-/** What a gateway is made of: its identity, and the ports to everything outside it. */
+/** Options of a gateway: its identity, its settings and the ports to everything outside it. */
 import type { NodeId, RegionName, ZoneName } from '../core/identity.js';
 import type { Milliseconds } from '../core/units.js';
 import type { PeerPort } from '../peers/peer-messages.js';
@@ -12,74 +12,76 @@
 import type { SingletonTaskSettings } from './singleton-tasks.js';
 import type { StorageDrainPort } from './storage-drains.js';
 
-/** Times that the operator sets and that may change while a process runs. */
+/** Time limits that the operator sets; a reload of the settings may change them. */
 export interface FleetTimings {
-  /** Least time between orders of two coordinators. */
+  /** Minimum time between the orders of two successive coordinators. */
   readonly coordinatorHandOver: Milliseconds;
-  /** Whether workers refuse orders under a lower fencing token than they have seen. */
+  /** Whether workers reject orders with a lower fencing token than they have seen. */
   readonly areTokensChecked: boolean;
-  /** Time in which a change of the configuration has to be in force. */
+  /** Time limit for a configuration change to take effect. */
   readonly changeBound: Milliseconds;
-  /** Time in which an evacuation of a zone has to be in force. @default nobody asks for one */
+  /** Time limit for the evacuation of a zone to take effect. @default no limit */
   readonly evacuationBound?: Milliseconds | undefined;
-  /** Time between the request to stop and the forced end. */
+  /** Time limit for a stop; the process is killed after it. */
   readonly stopLimit: Milliseconds;
-  /** Time for which a job stays readable. */
+  /** Time for which a finished job can be read. */
   readonly jobRetention: Milliseconds;
 }
 
 /**
- * Multiple of the bound for a configuration within which a node that is in order hears from the store or
- * from a relay, whatever becomes of its relays.
+ * Factor of `changeBound` within which a connected node hears from the store or a relay, also if
+ * one of its relays fails.
  */
-const LONGEST_CONTACT_PAUSE = 1.5;
+const MAX_CONTACT_GAP_FACTOR = 1.5;
 
-/** A node to which the store falls silent asks the others within three seconds. */
-const LEAST_EVACUATION_AGE: Milliseconds = 4_000;
+/** A node that loses the store queries other nodes within 3 s. */
+const MIN_EVACUATION_AGE_LIMIT: Milliseconds = 4_000;
 
-/** Time without contact after which what a node knows of evacuations is too old to send work on. */
+/**
+ * Age beyond which the cached evacuation state is too old to send work by; `undefined` for no
+ * limit.
+ */
 export function evacuationAgeLimit(timings: FleetTimings): Milliseconds | undefined {
   const { evacuationBound, changeBound } = timings;
   if (evacuationBound === undefined) return undefined;
-  return Math.max(evacuationBound, LONGEST_CONTACT_PAUSE * changeBound, LEAST_EVACUATION_AGE);
+  return Math.max(evacuationBound, MAX_CONTACT_GAP_FACTOR * changeBound, MIN_EVACUATION_AGE_LIMIT);
 }
 
-/** Options of a gateway. */
 export interface GatewayNodeOptions {
   readonly node: NodeId;
   readonly zone: ZoneName;
   readonly store: SharedStore;
   readonly engine: EnginePort;
   readonly peers: PeerPort;
-  /** Where other nodes reach this one. */
+  /** Address at which other nodes reach this one. */
   readonly peerAddress: string;
   readonly feeds: FeedTranslation;
-  /** Line by which an event tells a change of weights, in lower case. */
+  /** Name, in lower case, of the stream field that reports a change of weights. */
   readonly versionField: string;
   readonly clock: Clock;
   readonly log: DecisionLog;
   readonly metrics: FleetMetrics;
-  /** The times in force; a reload of the settings may change them. */
+  /** The time limits in force. */
   readonly timings: () => FleetTimings;
   readonly storageDrains: StorageDrainPort;
-  /** Processor share of this machine, in cores of ordinary speed. @default 1 */
+  /** Processor share of this machine, in cores of reference speed. @default 1 */
   readonly capacity?: number;
-  /** Duties towards the operator's cloud interface. @default none */
+  /** Singleton tasks towards the operator's cloud interface. @default none */
   readonly singletonTasks?: SingletonTaskSettings;
   /**
-   * Whether each zone serves its own callers, also while it is cut off: jobs are run by nodes and,
-   * as far as they have room, workers of the zone that they were handed in at. @default false
+   * Whether each zone serves its own callers, also while it is partitioned: the zone's nodes and,
+   * as far as they have free slots, its workers run the jobs submitted there. @default false
    */
   readonly areZonesAutonomous?: boolean;
   /**
-   * Replicas of a zone's journal that keep a job, where zones serve their own callers: one more than
-   * the machines with disks that may be lost at once. @default 0
+   * Journal replicas that store a job where zones are autonomous: one more than the number of disks
+   * that may be lost at once. @default 0
    */
   readonly journalReplicas?: number;
-  /** The region of each zone of the deployment. @default one region */
+  /** The region of each zone. @default one region */
   readonly zoneRegions?: ReadonlyMap<ZoneName, RegionName>;
-  /** What cold workers may be sent beyond what they bear. @default nothing */
+  /** Requests that cold workers may be sent beyond their rated load. @default none */
   readonly coldTolerance?: ColdTolerance;
-  /** Whether the whole fleet starts for the first time, now. @default false */
+  /** Whether this is the first start of the whole fleet. @default false */
   readonly isFirstStart?: boolean;
 }
--- a/src/fleet/gateway-process.ts
+++ b/src/fleet/gateway-process.ts
@@ -1,45 +1,42 @@
-/** The life of a gateway process: start, reload, and a stop that cuts off no request. */
+/** Stops a gateway process gracefully: running requests finish before the process exits. */
 import { type Milliseconds, SECOND } from '../core/units.js';
 import type { Clock } from '../serving/clock.js';
 import type { DecisionLog } from '../telemetry/decision-log.js';
 import type { GatewayNode } from './gateway-node.js';
 import type { FleetTimings } from './gateway-options.js';
 
-/** The server that callers reach. */
-export interface CallerServer {
-  /** Requests under way. */
+/** The server that accepts callers' connections. */
+export interface IngressServer {
   readonly requestsInFlight: number;
-  /** Takes no more connections and closes those that carry no request. */
+  /** Accepts no more connections and closes the idle ones. */
   close(): void;
 }
 
-/** Options of {@link GatewayProcess}. */
 export interface GatewayProcessOptions {
   readonly node: GatewayNode;
-  readonly server: CallerServer;
+  readonly server: IngressServer;
   readonly clock: Clock;
   readonly log: DecisionLog;
-  /** The times in force when the stop begins count. */
+  /** The settings in force; read once during a stop. */
   readonly timings: () => FleetTimings;
-  /** Ends the process. */
   readonly exit: () => void;
 }
 
-/** Time until callers are no longer sent here: two missed answers, a second apart, and some. */
-const NOTICE_TIME: Milliseconds = 2.5 * SECOND;
+/** Time in which callers stop sending requests here: two failed readiness checks, 1 s apart. */
+const READINESS_PROPAGATION_TIME: Milliseconds = 2.5 * SECOND;
 
-/** Time kept back of the time to stop. */
+/** Part of the stop limit that is reserved for the exit itself. */
 const STOP_MARGIN: Milliseconds = 700;
 
-const STOP_POLL: Milliseconds = 50;
+const STOP_POLL_INTERVAL: Milliseconds = 50;
 
-/** Runs one gateway. */
+/** Controls the stop of one gateway process. */
 export class GatewayProcess {
   private isStopping = false;
 
   constructor(private readonly options: GatewayProcessOptions) {}
 
-  /** Stops: jobs are handed over, running requests end, then the process ends. */
+  /** Releases the jobs, waits for running requests up to the stop limit, then exits. */
   async stop(): Promise<void> {
     if (this.isStopping) return;
     this.isStopping = true;
@@ -47,14 +44,14 @@
     const startedAt = clock.now();
     const elapsed = (): Milliseconds => clock.now() - startedAt;
     node.beginStop();
-    const released = node.stop();
-    while (elapsed() < NOTICE_TIME) await clock.sleep(STOP_POLL);
+    const jobsReleased = node.stop();
+    while (elapsed() < READINESS_PROPAGATION_TIME) await clock.sleep(STOP_POLL_INTERVAL);
     server.close();
     const limit = timings().stopLimit - STOP_MARGIN;
-    while (server.requestsInFlight > 0 && elapsed() < limit) await clock.sleep(STOP_POLL);
-    const finished = released.then(() => node.finish());
-    await Promise.race([finished, clock.sleep(Math.max(0, limit - elapsed()))]);
+    while (server.requestsInFlight > 0 && elapsed() < limit) await clock.sleep(STOP_POLL_INTERVAL);
+    const nodeFinished = jobsReleased.then(() => node.finish());
+    await Promise.race([nodeFinished, clock.sleep(Math.max(0, limit - elapsed()))]);
     log.state('stopped', { requestsLeft: server.requestsInFlight });
-    setTimeout(exit, STOP_POLL);
+    setTimeout(exit, STOP_POLL_INTERVAL);
   }
 }
--- a/src/fleet/job-placement.ts
+++ b/src/fleet/job-placement.ts
@@ -1,13 +1,14 @@
 /**
- * Which nodes run jobs. A few nodes of the fleet, by rendezvous hash among its strongest machines,
- * own all jobs: what they have sent to the workers is then known in few places, connections to
- * workers are used again, and any node finds the owner of a job by its id without asking the store.
- * Where zones serve their own callers, the owners of a zone run the jobs that were handed in there,
- * so that a zone that is cut off goes on with them. Where a fleet spans regions, the owners of a
- * region do: their items, texts and answers then stay off the link between the regions.
+ * Selects the nodes that run jobs. A few nodes, by rendezvous hash among the strongest machines,
+ * own all jobs: few nodes then track the load of the workers, connections to workers are reused,
+ * and any node finds the owner of a job by its id without a read of the store.
  *
- * Two nodes that see different fleets may name different owners; the commit on the job's head
- * decides, and whoever asked the wrong node reads the head.
+ * Where zones are autonomous, the owners of a zone run the jobs submitted there, also while the
+ * zone is partitioned. In a fleet of several regions the owners of a region do, which keeps their
+ * traffic off the link between regions.
+ *
+ * Two nodes with different membership lists may select different owners; the commit on the job's
+ * head decides, and a node that asked the wrong owner reads the head.
  */
 import { rendezvousOrder } from '../core/hashing.js';
 import type { NodeId, ZoneName } from '../core/identity.js';
@@ -16,158 +17,155 @@
 import type { Localities, LocalityName } from '../placement/locality.js';
 import type { Clock } from '../serving/clock.js';
 
-/** Key under which nodes are ordered as owners of jobs. */
+/** Rendezvous hash key that orders nodes as owners of jobs. */
 const OWNERS_KEY = 'job-owners';
 
-/** Owners at least, so that the loss of one leaves most jobs running. */
-const FEWEST_OWNERS = 3;
+/** Minimum number of owners, so that the loss of one leaves most jobs running. */
+const MIN_OWNERS = 3;
 
 /**
- * Owners of a zone or region that serves its own callers. One node that runs all jobs there knows of
- * all their items, so that they do not compete for places at workers; where it does not answer, the
- * next in order takes its place.
+ * Minimum number of owners in an autonomous zone or a region. A single owner tracks all items
+ * there, so that owners do not compete for slots of workers; if it does not answer, the next node
+ * replaces it.
  */
-const FEWEST_OWNERS_IN_LOCALITY = 1;
+const MIN_OWNERS_PER_LOCALITY = 1;
 
-/**
- * Nodes of the fleet for each owner. The smallest machines carry some 40 items a second; a fleet of
- * 165 nodes is asked for about 100.
- */
+/** Number of nodes per owner; even the smallest machines carry the resulting load. */
 const NODES_PER_OWNER = 40;
 
-/** Machines with this share of the strongest one's processor may own jobs, if they are enough. */
-const STRONG_SHARE = 0.75;
+/**
+ * Minimum share of the strongest machine's capacity at which a machine is preferred as an owner.
+ */
+const MIN_CAPACITY_SHARE = 0.75;
 
-/** Time for which a node that did not answer is not asked to own jobs. */
-const SILENCE_PENALTY: Milliseconds = 3_000;
+/** Time for which a node that did not answer is excluded from the owners. */
+const UNRESPONSIVE_EXCLUSION_TIME: Milliseconds = 3_000;
 
-/** Owners that a job is offered to before the node that took the call runs it itself. */
-const OFFERS = 2;
+/** Number of owners that a job is offered to before the accepting node runs it itself. */
+const MAX_OFFERS = 2;
 
-/** The localities of the fleet, and in which zone each node is as far as this one knows. */
-export interface LocalityView extends Localities {
+/** The localities of the fleet, with the zone of each node that is known. */
+export interface NodeLocalities extends Localities {
   readonly zoneOf: (node: NodeId) => ZoneName | undefined;
 }
 
-/** Options of {@link JobPlacement}. */
 export interface JobPlacementOptions {
-  /** The zones or regions that each run the jobs of their own callers. @default any node runs any job */
-  readonly localities?: LocalityView | undefined;
+  /** The zones or regions that each run the jobs submitted there. @default any node runs any job */
+  readonly localities?: NodeLocalities | undefined;
   readonly liveNodes: () => readonly NodeId[];
   /** Processor share of a node's machine. */
   readonly capacityOf: (node: NodeId) => number;
   readonly clock: Pick<Clock, 'now'>;
 }
 
-/** Any node may own a job. */
 const ANY_NODE: MayHold = () => true;
 
-/** Names the owners of jobs. */
 export class JobPlacement {
-  private readonly avoidedUntil = new Map<NodeId, Milliseconds>();
+  private readonly excludedUntil = new Map<NodeId, Milliseconds>();
 
   constructor(private readonly options: JobPlacementOptions) {}
 
-  /** Whether each zone runs the jobs of its own callers, also while it is cut off. */
+  /** Whether each zone runs the jobs submitted there, also while it is partitioned. */
   get isByZone(): boolean {
     return this.options.localities?.kind === 'zone';
   }
 
-  /** Whether each zone or each region runs the jobs of its own callers. */
+  /** Whether each zone or each region runs the jobs submitted there. */
   get isByLocality(): boolean {
     return this.options.localities !== undefined;
   }
 
-  /** Nodes that run jobs, as this node sees the fleet. */
+  /** The nodes that run jobs, by this node's membership list. */
   owners(): NodeId[] {
     const { localities } = this.options;
-    const nodes = this.reachableNodes();
-    if (localities === undefined) return this.ownersAmong(nodes, FEWEST_OWNERS);
-    return this.localitiesFrom(localities.own).flatMap((name) => this.ownersIn(name));
+    const nodes = this.responsiveNodes();
+    if (localities === undefined) return this.selectOwners(nodes, MIN_OWNERS);
+    return this.localitiesBeginningWith(localities.own).flatMap((name) => this.ownersIn(name));
   }
 
   /**
-   * The owners in the order in which they are to run a job. Where zones or regions serve their own
-   * callers, those of the job's come first; a zone that is not told is taken for this node's. A job
-   * that not every node may hold has its owners among those that may.
+   * Returns the candidate owners of a job in order of preference. Those of the job's zone or region
+   * come first; without `zone`, those of this node's. Nodes that may not hold the job are left out.
    */
   ownersOf(job: string, zone?: ZoneName, mayOwn: MayHold = ANY_NODE): NodeId[] {
     const { localities } = this.options;
     if (localities === undefined) {
-      const owners = this.ownersAmong(this.reachableNodes().filter(mayOwn), FEWEST_OWNERS);
+      const owners = this.selectOwners(this.responsiveNodes().filter(mayOwn), MIN_OWNERS);
       return rendezvousOrder(job, owners, (node) => node);
     }
     const first = zone === undefined ? localities.own : localities.of(zone);
-    return this.localitiesFrom(first).flatMap((name) => this.inTurnIn(name, job).filter(mayOwn));
+    return this.localitiesBeginningWith(first).flatMap((name) =>
+      this.candidatesIn(name, job).filter(mayOwn),
+    );
   }
 
   /**
-   * The owners that a job is offered to where a caller hands it in at this node. A zone that serves its own
-   * callers hands no job to another one: both could be cut off from each other with the job at both.
-   * A region does where its own nodes do not take it; the store tells whose the job is.
+   * Returns the owners that a job submitted at this node is offered to. An autonomous zone offers
+   * no job to another zone: both could run the job while they are partitioned from each other. A
+   * region may, after its own nodes; the store decides which node owns the job.
    */
-  offersFor(job: string, mayOwn: MayHold = ANY_NODE): NodeId[] {
+  offerTargets(job: string, mayOwn: MayHold = ANY_NODE): NodeId[] {
     const { localities } = this.options;
-    if (localities === undefined) return this.ownersOf(job, undefined, mayOwn).slice(0, OFFERS);
-    const near = this.inTurnIn(localities.own, job);
-    const own = near.slice(0, OFFERS);
+    if (localities === undefined) return this.ownersOf(job, undefined, mayOwn).slice(0, MAX_OFFERS);
+    const local = this.candidatesIn(localities.own, job);
+    const own = local.slice(0, MAX_OFFERS);
     if (localities.kind === 'zone') return own;
-    const others = this.ownersOf(job, undefined, mayOwn).filter((node) => !near.includes(node));
+    const others = this.ownersOf(job, undefined, mayOwn).filter((node) => !local.includes(node));
     return [...own, ...others.slice(0, 1)];
   }
 
   /**
-   * The nodes that look for the jobs of one that left a zone: the owners of its region, if it has
-   * any left, so that its jobs stay there.
+   * Returns the nodes that take over the jobs of a terminated node of a zone: the owners of its
+   * region, if any are left, so that the jobs stay in the region.
    */
-  successorsIn(zone: ZoneName): NodeId[] {
+  takeoverCandidates(zone: ZoneName): NodeId[] {
     const { localities } = this.options;
     if (localities?.kind !== 'region') return this.owners();
-    const near = this.ownersIn(localities.of(zone));
-    return near.length > 0 ? near : this.owners();
+    const local = this.ownersIn(localities.of(zone));
+    return local.length > 0 ? local : this.owners();
   }
 
-  /** Whether another region than this node's runs the jobs that are handed in at a zone. */
-  isOfOtherRegion(zone: ZoneName | undefined): boolean {
+  /** Whether a region other than this node's runs the jobs submitted in a zone. */
+  isInOtherRegion(zone: ZoneName | undefined): boolean {
     const { localities } = this.options;
     if (localities?.kind !== 'region' || zone === undefined) return false;
     return localities.of(zone) !== localities.own;
   }
 
-  /** The owners, of any zone, that a job is offered to where this node must not hold it. */
-  offersElsewhere(job: string, mayOwn: MayHold): NodeId[] {
+  /** Returns the owners, of any zone, that a job is offered to if this node may not hold it. */
+  remoteOfferTargets(job: string, mayOwn: MayHold): NodeId[] {
     return rendezvousOrder(job, this.ownersOf(job, undefined, mayOwn), (node) => node);
   }
 
-  /** A node did not answer: others run its jobs for a while. */
+  /** Excludes a node that did not answer from the owners for a while. */
   noteUnresponsive(node: NodeId): void {
-    this.avoidedUntil.set(node, this.options.clock.now() + SILENCE_PENALTY);
+    this.excludedUntil.set(node, this.options.clock.now() + UNRESPONSIVE_EXCLUSION_TIME);
   }
 
-  private reachableNodes(): NodeId[] {
-    return this.options.liveNodes().filter((node) => !this.isAvoided(node));
+  private responsiveNodes(): NodeId[] {
+    return this.options.liveNodes().filter((node) => !this.isExcluded(node));
   }
 
-  private ownersIn(locality: LocalityName, fewest = FEWEST_OWNERS_IN_LOCALITY): NodeId[] {
-    const nodes = this.reachableNodes().filter((node) => this.localityOf(node) === locality);
-    return this.ownersAmong(nodes, fewest);
+  private ownersIn(locality: LocalityName, minimum = MIN_OWNERS_PER_LOCALITY): NodeId[] {
+    const nodes = this.responsiveNodes().filter((node) => this.localityOf(node) === locality);
+    return this.selectOwners(nodes, minimum);
   }
 
   /**
-   * The owners of a locality in the order in which they are to run a job, and for a region the node
-   * that is to take their place: a job that its owner gives up or loses then stays in its region.
+   * Returns the owners of a locality in order of preference for a job. For a region the next node
+   * in rank is added, so that a job which its owner releases or loses stays in the region.
    */
-  private inTurnIn(locality: LocalityName, job: string): NodeId[] {
+  private candidatesIn(locality: LocalityName, job: string): NodeId[] {
     const owners = this.ownersIn(locality);
     const inOrder = rendezvousOrder(job, owners, (node) => node);
     if (this.isByZone) return inOrder;
-    const further = this.ownersIn(locality, owners.length + 1);
-    const [next] = further.filter((node) => !owners.includes(node));
+    const extended = this.ownersIn(locality, owners.length + 1);
+    const [next] = extended.filter((node) => !owners.includes(node));
     return next === undefined ? inOrder : [...inOrder, next];
   }
 
-  /** All localities with live nodes, from a given one on. */
-  private localitiesFrom(first: LocalityName): LocalityName[] {
+  /** All localities with live nodes, beginning with a given one. */
+  private localitiesBeginningWith(first: LocalityName): LocalityName[] {
     const names = new Set(this.options.liveNodes().map((node) => this.localityOf(node)));
     names.delete(first);
     return [first, ...[...names].filter((name) => name !== undefined).sort()];
@@ -179,25 +177,25 @@
     return zone === undefined ? undefined : localities?.of(zone);
   }
 
-  private ownersAmong(nodes: readonly NodeId[], fewest: number): NodeId[] {
-    const count = Math.max(fewest, Math.ceil(nodes.length / NODES_PER_OWNER));
-    const strong = this.strongest(nodes, fewest);
+  private selectOwners(nodes: readonly NodeId[], minimum: number): NodeId[] {
+    const count = Math.max(minimum, Math.ceil(nodes.length / NODES_PER_OWNER));
+    const strong = this.strongest(nodes, minimum);
     return rendezvousOrder(OWNERS_KEY, strong, (node) => node).slice(0, count);
   }
 
-  /** The strongest machines; all where these are not enough. */
-  private strongest(nodes: readonly NodeId[], enough: number): readonly NodeId[] {
+  /** Returns the strongest machines, or all if these are fewer than `minimum`. */
+  private strongest(nodes: readonly NodeId[], minimum: number): readonly NodeId[] {
     const { capacityOf } = this.options;
-    const most = Math.max(0, ...nodes.map(capacityOf));
-    const strong = nodes.filter((node) => capacityOf(node) >= STRONG_SHARE * most);
-    return strong.length >= enough ? strong : nodes;
+    const maxCapacity = Math.max(0, ...nodes.map(capacityOf));
+    const strong = nodes.filter((node) => capacityOf(node) >= MIN_CAPACITY_SHARE * maxCapacity);
+    return strong.length >= minimum ? strong : nodes;
   }
 
-  private isAvoided(node: NodeId): boolean {
-    const until = this.avoidedUntil.get(node);
+  private isExcluded(node: NodeId): boolean {
+    const until = this.excludedUntil.get(node);
     if (until === undefined) return false;
     if (this.options.clock.now() < until) return true;
-    this.avoidedUntil.delete(node);
+    this.excludedUntil.delete(node);
     return false;
   }
 }
--- a/src/fleet/job-takeover.ts
+++ b/src/fleet/job-takeover.ts
@@ -1,8 +1,8 @@
 /**
- * Takes over jobs whose owner is gone. After a node has left, a few of the nodes that run jobs look
- * for its jobs, one after the other by rendezvous hash of its name; such a node looks too when it
- * joins, and so does the coordinator now and then. Where two race, the commit on the job's head
- * decides. A node that may not hold a job has one that may take it.
+ * Takes over jobs whose owner has failed. After a node terminates, a few of the nodes that run jobs
+ * scan for its jobs, ordered by rendezvous hash of its name. A node also scans when it joins, and
+ * the coordinator scans periodically. The commit on the job's head decides races. A node that may
+ * not hold a job offers it to one that may.
  */
 import { rendezvousOrder } from '../core/hashing.js';
 import type { NodeId } from '../core/identity.js';
@@ -20,7 +20,6 @@
 import type { FleetRegistry, NodeTermination } from './fleet-registry.js';
 import type { JobPlacement } from './job-placement.js';
 
-/** Options of {@link JobTakeover}. */
 export interface JobTakeoverOptions {
   readonly store: JobStore;
   readonly service: JobService;
@@ -28,8 +27,8 @@
   readonly self: JobOwner;
   readonly placement: JobPlacement;
   readonly peers: PeerPort;
-  /** Has another node take a job over; tells whether it did. */
-  readonly adoptElsewhere: (
+  /** Asks another node to take over a job; resolves to whether it did. */
+  readonly requestTakeover: (
     node: NodeId,
     job: string,
     owner: JobOwner | null,
@@ -39,96 +38,105 @@
   readonly residency?: JobResidency | undefined;
 }
 
-/** A departed node may be back with a new lease within this time; then nothing is taken over. */
-const DEPARTURE_GRACE: Milliseconds = 700;
+/** Time in which a terminated node may return with a new lease; its jobs then stay. */
+const TERMINATION_GRACE: Milliseconds = 700;
 
-/** A life that was replaced is surely over; others may be replaced at the same time. */
+/**
+ * Delay after an incarnation was replaced, which certainly ended; other nodes may be restarting
+ * too.
+ */
 const REPLACEMENT_GRACE: Milliseconds = 150;
 
-/** Time for a node whose lease is over to show that it lives. */
-const PROBE_LIMIT: Milliseconds = 300;
+/** Time limit for a node whose lease expired to answer a probe. */
+const PROBE_TIMEOUT: Milliseconds = 300;
 
-/** Time by which each rank lets the ones before it go first. */
+/** Delay per rank, so that nodes of lower rank go first. */
 const RANK_DELAY: Milliseconds = 900;
 
-/** Time after which heads that could not be read are read again. */
+/** Delay before a failed read of the heads is repeated. */
 const RETRY_DELAY: Milliseconds = 400;
 
-/** Nodes that look for the jobs of one that left. */
-const SCANNING_NODES = 2;
+/** Number of nodes that scan for the jobs of a terminated node. */
+const MAX_SCANNING_NODES = 2;
 
-/** Looks that are due this close together are one: where many nodes leave at once, one look finds all. */
+/**
+ * Sweeps due within the same step are merged: one sweep covers many nodes that terminate together.
+ */
 const SWEEP_STEP: Milliseconds = 300;
 
-/** Nodes that are asked to take a job which the asking one may not hold. */
-const MOST_ADOPTERS = 2;
+/** Maximum number of nodes asked to take over a job that this node may not hold. */
+const MAX_TAKEOVER_OFFERS = 2;
 
-/** Scans of a node that joins: the last one takes jobs of any rank. */
-const SCANS = 3;
+/** Scans after a node joins; the last one takes over jobs regardless of rank. */
+const MAX_SCANS = 3;
 
-/** What a probe of an owner shows; `cut-off`: it lives and does not reach the store. */
+/** Result of a probe of an owner; `cut-off`: the owner is live and cannot reach the store. */
 type OwnerState = 'running' | 'cut-off' | 'gone';
 
-/** After the store was silent here too, an owner that is cut off will be back as this node is. */
-const RETURN_TIME: Milliseconds = 2_000;
+/**
+ * Time after an outage of the store at this node in which a disconnected owner is expected to
+ * reconnect as well.
+ */
+const STORE_RECOVERY_TIME: Milliseconds = 2_000;
 
-/** What a scan found; `unavailable`: the store did not answer. */
+/** Result of a scan; `unavailable`: the store did not answer. */
 type ScanOutcome = 'no-orphans' | 'orphans-seen' | 'unavailable';
 
-/** Looks for jobs without a live owner after nodes have left. */
+/** Scans for jobs without a live owner after nodes have terminated. */
 export class JobTakeover {
   private readonly timers = new Set<NodeJS.Timeout>();
   private isStopped = false;
-  /** Sweeps that wait, by the time at which they are due in steps. */
-  private readonly sweepsDue = new Set<number>();
+  /** Scheduled sweeps, by their due time in units of `SWEEP_STEP`. */
+  private readonly scheduledSweeps = new Set<number>();
   private readonly residency: JobResidency;
 
   constructor(private readonly options: JobTakeoverOptions) {
     this.residency = options.residency ?? UNRESTRICTED_RESIDENCY;
-    options.fleet.terminations.subscribe((departure) => this.scanAfter(departure));
-    options.fleet.listed.subscribe(() => this.scanSoon());
+    options.fleet.terminations.subscribe((termination) => this.scheduleSweepAfter(termination));
+    options.fleet.listed.subscribe(() => this.scheduleScan());
   }
 
-  /** Takes over whatever has no live owner now. */
+  /** Takes over all jobs that have no live owner. */
   async sweep(): Promise<void> {
-    if ((await this.scan(SCANS - 1)) === 'unavailable') this.later(RANK_DELAY, () => this.sweep());
+    if ((await this.scan(MAX_SCANS - 1)) === 'unavailable')
+      this.schedule(RANK_DELAY, () => this.sweep());
   }
 
-  /** Scans after a departure, if this node is one of the few that do. */
-  private scanAfter({ node, zone, cause }: NodeTermination): void {
-    const successors = this.options.placement.successorsIn(zone);
-    const nodes = rendezvousOrder(node, successors, (name) => name);
+  /** Schedules a sweep after a node terminated, if this node is one of the few that scan. */
+  private scheduleSweepAfter({ node, zone, cause }: NodeTermination): void {
+    const candidates = this.options.placement.takeoverCandidates(zone);
+    const nodes = rendezvousOrder(node, candidates, (name) => name);
     const rank = nodes.indexOf(this.options.self.node);
-    if (rank < 0 || rank >= SCANNING_NODES) return;
-    const grace = cause === 'replaced' ? REPLACEMENT_GRACE : DEPARTURE_GRACE;
-    this.sweepLater(grace + rank * RANK_DELAY);
+    if (rank < 0 || rank >= MAX_SCANNING_NODES) return;
+    const grace = cause === 'replaced' ? REPLACEMENT_GRACE : TERMINATION_GRACE;
+    this.scheduleSweep(grace + rank * RANK_DELAY);
   }
 
-  private sweepLater(delay: Milliseconds): void {
+  private scheduleSweep(delay: Milliseconds): void {
     const step = Math.ceil((performance.now() + delay) / SWEEP_STEP);
-    if (this.sweepsDue.has(step)) return;
-    this.sweepsDue.add(step);
-    this.later(delay, () => {
-      this.sweepsDue.delete(step);
+    if (this.scheduledSweeps.has(step)) return;
+    this.scheduledSweeps.add(step);
+    this.schedule(delay, () => {
+      this.scheduledSweeps.delete(step);
       return this.sweep();
     });
   }
 
-  /** Scans soon, and again for jobs that better ranked nodes left alone. */
-  scanSoon(): void {
-    this.later(REPLACEMENT_GRACE, () => this.scanInTurn(0));
+  /** Schedules scans, each of which includes jobs of one rank more than the last. */
+  scheduleScan(): void {
+    this.schedule(REPLACEMENT_GRACE, () => this.scanUpToRank(0));
   }
 
-  private async scanInTurn(allowedRank: number): Promise<void> {
+  private async scanUpToRank(allowedRank: number): Promise<void> {
     const isOwner = this.options.placement.owners().includes(this.options.self.node);
     const outcome = isOwner ? await this.scan(allowedRank) : 'orphans-seen';
     if (outcome === 'no-orphans') return;
     const next = outcome === 'unavailable' ? allowedRank : allowedRank + 1;
-    if (next < SCANS) this.later(RANK_DELAY, () => this.scanInTurn(next));
+    if (next < MAX_SCANS) this.schedule(RANK_DELAY, () => this.scanUpToRank(next));
   }
 
-  private later(delay: Milliseconds, work: () => Promise<void>): void {
-    // A scan that was under way when the node stopped may end after it, and want another.
+  private schedule(delay: Milliseconds, work: () => Promise<void>): void {
+    // A scan that ends after the node stopped must not schedule another one.
     if (this.isStopped) return;
     const timer = setTimeout(() => {
       this.timers.delete(timer);
@@ -137,8 +145,8 @@
     this.timers.add(timer);
   }
 
-  /** Takes over what a life of a node runs that is suspected, unless it is trusted again. */
-  async takeFrom(
+  /** Takes over the jobs of a suspected incarnation, unless the suspicion is withdrawn first. */
+  async takeOverFrom(
     owner: JobOwner,
     ownerAnswers: boolean,
     isStillSuspected: () => boolean,
@@ -146,56 +154,57 @@
     const read = await this.options.store.heads();
     if (!isStillSuspected()) return;
     if (read.kind !== 'found') {
-      // An owner that is lost during an outage of the store is still lost at its end.
-      this.later(RETRY_DELAY, () => this.takeFrom(owner, ownerAnswers, isStillSuspected));
+      // The read is retried: an owner lost during an outage of the store is still lost after it.
+      this.schedule(RETRY_DELAY, () => this.takeOverFrom(owner, ownerAnswers, isStillSuspected));
       return;
     }
     for (const [job, found] of read.value) {
       const { owner: current } = found.head;
-      const isTheirs = current?.node === owner.node && current.incarnation === owner.incarnation;
-      if (!isTheirs || isFinished(found.head)) continue;
-      await this.adoptByPlacement(job, found, owner, ownerAnswers);
+      const isOwnedBySuspect =
+        current?.node === owner.node && current.incarnation === owner.incarnation;
+      if (!isOwnedBySuspect || isFinished(found.head)) continue;
+      await this.takeOverByPlacement(job, found, owner, ownerAnswers);
     }
   }
 
-  /** The node that is to run the job takes it, or this one where that one does not. */
-  private async adoptByPlacement(
+  /** Offers the job to its preferred owners; this node takes it over if they do not. */
+  private async takeOverByPlacement(
     job: string,
     found: VersionedHead,
     owner: JobOwner | null,
     ownerAnswers: boolean,
   ): Promise<void> {
-    const { placement, self, service, adoptElsewhere } = this.options;
-    const mayHold = this.mayHold(found);
+    const { placement, self, service, requestTakeover } = this.options;
+    const mayHold = this.holderFilterOf(found);
     const nodes = placement.ownersOf(job, found.head.zone, mayHold);
     const others = nodes.filter((name) => name !== owner?.node);
-    const mayAdopt = mayHold(self.node);
-    for (const node of others.slice(0, mayAdopt ? 1 : MOST_ADOPTERS)) {
+    const mayHoldHere = mayHold(self.node);
+    for (const node of others.slice(0, mayHoldHere ? 1 : MAX_TAKEOVER_OFFERS)) {
       if (node === self.node) break;
-      if (await adoptElsewhere(node, job, owner, ownerAnswers)) return;
+      if (await requestTakeover(node, job, owner, ownerAnswers)) return;
     }
-    if (mayAdopt) await service.takeOver(job, found, ownerAnswers);
+    if (mayHoldHere) await service.takeOver(job, found, ownerAnswers);
   }
 
-  private mayHold({ head }: VersionedHead): MayHold {
+  private holderFilterOf({ head }: VersionedHead): MayHold {
     return this.residency.holderFilter(this.residency.regionsForOrigin(head));
   }
 
-  /** A job without a live owner is taken here, or offered where it is at home or may lie. */
-  private async adoptFound(
+  /** Takes an orphaned job over, or offers it to its own region or to nodes that may hold it. */
+  private async takeOverOrphan(
     job: string,
     found: VersionedHead,
     ownerAnswers: boolean,
   ): Promise<void> {
     const { placement, service, self } = this.options;
     const { owner, zone } = found.head;
-    const isOfOthers = owner !== null && placement.isOfOtherRegion(zone);
-    if (isOfOthers || !this.mayHold(found)(self.node)) {
-      await this.adoptByPlacement(job, found, owner, ownerAnswers);
+    const belongsToOtherRegion = owner !== null && placement.isInOtherRegion(zone);
+    if (belongsToOtherRegion || !this.holderFilterOf(found)(self.node)) {
+      await this.takeOverByPlacement(job, found, owner, ownerAnswers);
     } else await service.takeOver(job, found, ownerAnswers);
   }
 
-  /** Cancels scans that are due. */
+  /** Cancels scheduled scans. */
   stop(): void {
     this.isStopped = true;
     for (const timer of this.timers) clearTimeout(timer);
@@ -207,24 +216,30 @@
     if (read.kind !== 'found') return 'unavailable';
     const orphans = [...read.value].filter(([job, found]) => this.isOrphan(job, found));
     for (const [job, found] of orphans) {
-      const mayAdopt = this.mayHold(found)(this.options.self.node);
+      const mayHoldHere = this.holderFilterOf(found)(this.options.self.node);
       const rank = this.rankFor(job, found);
-      if (mayAdopt && rank > allowedRank && allowedRank < SCANS - 1) continue;
-      const state = await this.stateOf(found.head.owner);
+      if (mayHoldHere && rank > allowedRank && allowedRank < MAX_SCANS - 1) continue;
+      const state = await this.probeOwner(found.head.owner);
       if (state === 'running') continue;
-      await this.adoptFound(job, found, state === 'cut-off');
+      await this.takeOverOrphan(job, found, state === 'cut-off');
     }
     return orphans.length === 0 ? 'no-orphans' : 'orphans-seen';
   }
 
-  /** A lease may lapse while its node lives; one that reaches the store goes on with its jobs. */
-  private async stateOf(owner: JobOwner | null): Promise<OwnerState> {
+  /**
+   * A lease may expire while its node is live; a node that reaches the store continues its jobs.
+   */
+  private async probeOwner(owner: JobOwner | null): Promise<OwnerState> {
     if (owner === null || this.isSelf(owner)) return 'gone';
     const request = { kind: 'probe', owner } as const;
-    const outcome = await this.options.peers.request<'probe'>(owner.address, request, PROBE_LIMIT);
+    const outcome = await this.options.peers.request<'probe'>(
+      owner.address,
+      request,
+      PROBE_TIMEOUT,
+    );
     if (outcome.kind !== 'answered' || !outcome.answer.isAlive) return 'gone';
-    const isAlone = !this.options.fleet.wasStoreUnreachableWithin(RETURN_TIME);
-    return outcome.answer.reachesStore || !isAlone ? 'running' : 'cut-off';
+    const isOutageLocalToOwner = !this.options.fleet.wasStoreUnreachableWithin(STORE_RECOVERY_TIME);
+    return outcome.answer.reachesStore || !isOutageLocalToOwner ? 'running' : 'cut-off';
   }
 
   private isSelf(owner: JobOwner): boolean {
@@ -233,7 +248,7 @@
   }
 
   private rankFor(job: string, found: VersionedHead): number {
-    const nodes = this.options.placement.ownersOf(job, found.head.zone, this.mayHold(found));
+    const nodes = this.options.placement.ownersOf(job, found.head.zone, this.holderFilterOf(found));
     const rank = nodes.indexOf(this.options.self.node);
     return rank < 0 ? nodes.length : rank;
   }
--- a/src/fleet/singleton-tasks.ts
+++ b/src/fleet/singleton-tasks.ts
@@ -1,6 +1,6 @@
 /**
- * The duties of one node at a time, joined: counts of usage told to the holder and reported by it,
- * and orders of workers. The holder is the fleet's coordinator.
+ * Tasks that only the coordinator performs: reporting usage, which all nodes send to it, and
+ * scaling workers.
  */
 import type { NodeId, ZoneName } from '../core/identity.js';
 import type { Milliseconds } from '../core/units.js';
@@ -26,24 +26,23 @@
 import type { FleetMetrics } from '../telemetry/fleet-metrics.js';
 import type { CoordinatorLock } from './coordinator-lock.js';
 
-/** What the operator asks of the fleet beside its requests; settings of a process. */
+/** Settings of the tasks. */
 export interface SingletonTaskSettings {
   readonly port: CloudPort;
-  /** Whether usage is to be reported, and in which windows. */
+  /** How usage is reported; `undefined` for not at all. */
   readonly usage: UsageReporting | undefined;
-  /** Whether workers may be ordered. */
+  /** Whether workers may be ordered and released. */
   readonly scalesWorkers: boolean;
 }
 
-/** Reports of usage. */
+/** Timing of usage reports. */
 export interface UsageReporting {
-  /** Length of a window of the time of day. */
+  /** Length of a window, aligned to the time of day. */
   readonly window: Milliseconds;
   /** Time after the end of a window at which its report is due. */
   readonly dueAfter: Milliseconds;
 }
 
-/** Options of {@link SingletonTasks}. */
 export interface SingletonTasksOptions {
   readonly settings: SingletonTaskSettings;
   readonly lock: CoordinatorLock;
@@ -51,10 +50,10 @@
   readonly self: JobOwner;
   readonly registry: WorkerRegistry;
   readonly services: () => readonly Service[];
-  /** Whether the workers of a zone are sent no work for the time being. */
+  /** Whether a zone is evacuated, so that its workers get no work. */
   readonly isEvacuated: (zone: ZoneName) => boolean;
   readonly liveNodes: () => number;
-  /** Tells another node what workers began to run for this one; whether it took it. */
+  /** Sends this node's usage counts to the coordinator; resolves to whether it accepted them. */
   readonly tell: (holder: NodeId, source: UsageSource, counts: WindowCounts) => Promise<boolean>;
   readonly isFirstStart: boolean;
   readonly clock: Clock;
@@ -62,55 +61,55 @@
   readonly metrics: FleetMetrics;
 }
 
-/** What counts usage on one node. */
-interface UsageParts {
+/** Components that count and report usage on one node. */
+interface UsageComponents {
   readonly meter: UsageMeter;
   readonly gathered: UsageCounts;
   readonly sender: UsageSender;
   readonly reporter: UsageReporter;
 }
 
-/** The duties as one node takes part in them. */
+/** One node's part in the singleton tasks. */
 export class SingletonTasks {
-  private readonly usage: UsageParts | undefined;
+  private readonly usage: UsageComponents | undefined;
   private readonly scaler: WorkerScaler | undefined;
 
   constructor(private readonly options: SingletonTasksOptions) {
-    const { settings: duties, self } = options;
-    const shared = { ...options, port: duties.port, node: self.node };
-    if (duties.usage !== undefined) this.usage = this.joinUsage(duties.usage);
-    if (duties.scalesWorkers) {
+    const { settings, self } = options;
+    const shared = { ...options, port: settings.port, node: self.node };
+    if (settings.usage !== undefined) this.usage = this.createUsageComponents(settings.usage);
+    if (settings.scalesWorkers) {
       this.scaler = new WorkerScaler({ ...shared, policy: new MaxWorkersPolicy(options.clock) });
     }
   }
 
-  /** Counts requests; `undefined` where no usage is reported. */
+  /** Counts requests; `undefined` if no usage is reported. */
   get meter(): UsageMeter | undefined {
     return this.usage?.meter;
   }
 
-  /** Begins to tell the holder. */
+  /** Starts to send usage counts to the coordinator. */
   start(): void {
     this.usage?.sender.start();
   }
 
-  /** Regular work of the holder. */
+  /** Performs the tasks, where this node is the coordinator. */
   tick(): void {
     this.usage?.reporter.tick();
     this.scaler?.tick();
   }
 
-  /** Another node told what workers began to run for it. */
-  take(source: UsageSource, counts: WindowCounts): void {
+  /** Applies the usage counts of another node. */
+  applyUsage(source: UsageSource, counts: WindowCounts): void {
     this.usage?.gathered.merge(source, counts);
   }
 
-  /** Before the process ends: nothing that was counted is lost. */
+  /** Sends the remaining counts before the process ends. */
   async finish(): Promise<void> {
     await this.usage?.sender.finish();
   }
 
-  private joinUsage({ window, dueAfter }: UsageReporting): UsageParts {
+  private createUsageComponents({ window, dueAfter }: UsageReporting): UsageComponents {
     const { options } = this;
     const { clock, lock, log, self, store, isFirstStart } = options;
     const windows = new UsageWindows(clock, window);
@@ -127,12 +126,12 @@
       source,
       node,
     };
-    const duties = (): { holder: NodeId | undefined; term: number } => lock;
+    const taskHolder = (): { holder: NodeId | undefined; term: number } => lock;
     const firstWindow = isFirstStart ? windows.current : 0;
     return {
       meter,
       gathered,
-      sender: new UsageSender({ ...shared, taskHolder: duties }),
+      sender: new UsageSender({ ...shared, taskHolder }),
       reporter: new UsageReporter({ ...shared, windows, dueAfter, firstWindow }),
     };
   }
--- a/src/fleet/storage-drains.ts
+++ b/src/fleet/storage-drains.ts
@@ -1,41 +1,40 @@
 /**
- * Answers requests to empty a storage node. A replica of a zone's journal holds what the shared store
- * has not taken yet; once it holds none of it, the coordinator reports the node empty.
+ * Answers operators' requests to drain a storage node. A journal replica holds jobs that the shared
+ * store does not have yet; once the replica holds none, the coordinator reports the node as empty.
  */
 import type { NodeId } from '../core/identity.js';
 import type { DecisionLog } from '../telemetry/decision-log.js';
 import type { CoordinatorLock } from './coordinator-lock.js';
 
-/** Tells the operator how far a storage node is emptied. */
+/** Reports the progress of drains to the operator. */
 export interface StorageDrainPort {
-  /** Reports the node empty; tells whether the report was kept. */
+  /** Reports a node as empty; resolves to whether the report is stored. */
   reportEmpty(node: NodeId): Promise<boolean>;
 }
 
-/** Options of {@link StorageDrains}. */
 export interface StorageDrainsOptions {
   readonly port: StorageDrainPort;
   readonly lock: CoordinatorLock;
   readonly log: DecisionLog;
-  /** Whether a node holds nothing that the shared store lacks. */
+  /** Whether the shared store has everything that a node holds. */
   readonly isEmpty: (node: NodeId) => Promise<boolean>;
 }
 
-/** Requests that are open. */
+/** Tracks the open requests. */
 export class StorageDrains {
-  private readonly open = new Set<NodeId>();
+  private readonly pending = new Set<NodeId>();
   private isReporting = false;
 
   constructor(private readonly options: StorageDrainsOptions) {}
 
-  /** Takes a request in; the coordinator answers it. */
+  /** Adds a request; the coordinator answers it. */
   request(node: NodeId): void {
-    this.open.add(node);
+    this.pending.add(node);
   }
 
-  /** Reports one node, where this node is the coordinator. */
+  /** Checks one node, where this node is the coordinator. */
   tick(): void {
-    const [node] = this.open;
+    const [node] = this.pending;
     if (node === undefined || this.isReporting) return;
     if (this.options.lock.fencingToken() === undefined) return;
     this.isReporting = true;
@@ -46,14 +45,14 @@
 
   private async report(node: NodeId): Promise<void> {
     if (!(await this.options.isEmpty(node))) {
-      // The next one in turn is looked at first.
-      this.open.delete(node);
-      this.open.add(node);
+      // Moves the node to the end of the queue.
+      this.pending.delete(node);
+      this.pending.add(node);
       return;
     }
-    const isKept = await this.options.port.reportEmpty(node);
-    if (!isKept) return;
-    this.open.delete(node);
+    const isStored = await this.options.port.reportEmpty(node);
+    if (!isStored) return;
+    this.pending.delete(node);
     this.options.log.state('storage-drained', { drained: node });
   }
 }
--- a/src/fleet/weight-changes.ts
+++ b/src/fleet/weight-changes.ts
@@ -1,6 +1,6 @@
 /**
- * What the nodes that run jobs are told of changes of weights: a worker that loads a version refuses
- * what it has not begun for most of a second, and looks empty meanwhile.
+ * Applies weight changes that the coordinator reports to the nodes that run jobs: a worker that
+ * loads a version rejects new requests meanwhile, although it looks idle.
  */
 import type { ModelName } from '../core/identity.js';
 import type { Milliseconds, WeightVersion } from '../core/units.js';
@@ -8,22 +8,23 @@
 import type { WorkerRegistry } from '../serving/worker-registry.js';
 
 /**
- * Time for which a worker counts as loading where its end is not told: a load takes 0.9 s, and half
- * as long again while many load.
+ * Time for which a worker counts as loading unless the end of the load is reported; loads take
+ * longer while many workers load.
  */
-const LOAD_TIME: Milliseconds = 1_400;
+const ASSUMED_LOAD_TIME: Milliseconds = 1_400;
 
-/** A worker that changes the weights of a model, or has. */
+/** A change of a model's weights at a worker. */
 export interface WeightChange {
   readonly worker: string;
+  /** The worker's incarnation; the key is part of the message format. */
   readonly life: WorkerIncarnation;
   readonly model: ModelName;
   readonly version: WeightVersion;
   readonly state: 'loading' | 'loaded';
 }
 
-/** Takes in what the coordinator told. */
-export function noteWeightChange(
+/** Applies a change, unless it concerns another incarnation of the worker. */
+export function applyWeightChange(
   registry: WorkerRegistry,
   change: WeightChange,
   now: Milliseconds,
@@ -31,5 +32,5 @@
   const worker = registry.get(change.worker);
   if (worker === undefined || workerIncarnationOf(worker.record) !== change.life) return;
   if (change.state === 'loaded') worker.noteVersion(change.model, change.version);
-  else worker.noteLoading(change.model, now + LOAD_TIME);
+  else worker.noteLoading(change.model, now + ASSUMED_LOAD_TIME);
 }
--- a/src/fleet/worker-gate.ts
+++ b/src/fleet/worker-gate.ts
@@ -1,6 +1,6 @@
 /**
- * What this node may send to which workers: the rules that every request has to pass, and the state
- * behind them as the fleet and the operator tell it.
+ * Controls what this node may send to which workers: the rules that every request has to pass, and
+ * the state of the fleet that they depend on.
  */
 import type { NodeId, ZoneName } from '../core/identity.js';
 import type { Milliseconds, Revision } from '../core/units.js';
@@ -17,110 +17,110 @@
 import { ColdWorkers } from './cold-workers.js';
 import { evacuationAgeLimit, type GatewayNodeOptions } from './gateway-options.js';
 
-/** What the gate asks of the rest of its node. */
 export interface WorkerGateOptions {
   readonly node: GatewayNodeOptions;
   readonly topology: ZoneTopology;
   readonly services: () => readonly Service[];
-  /** Where a worker's service tells its health. */
+  /** Path of the health check of a worker's service. */
   readonly healthPathOf: (worker: WorkerRecord) => string;
-  /** Time since this node surely heard what the operator wants. */
+  /** Time since the store or another node last reported what the operator requests. */
   readonly contactAge: () => Milliseconds;
-  /** Whether other nodes live. */
+  /** Whether other nodes are live. */
   readonly hasPeers: () => boolean;
-  /** Whether this node does not reach the store. */
-  readonly isCutOff: () => boolean;
+  /** Whether this node cannot reach the store. */
+  readonly isStoreUnreachable: () => boolean;
   readonly coordinator: () => NodeId | undefined;
-  /** The coordinator's token while this node is the coordinator. */
+  /** The fencing token, while this node is the coordinator. */
   readonly fencingToken: () => Revision | undefined;
-  readonly askForPermits: (
+  readonly requestPermits: (
     node: NodeId,
-    wishes: readonly PermitRequest[],
+    requests: readonly PermitRequest[],
   ) => Promise<PermitAnswer | undefined>;
-  /** Called when some worker may be sent more than before. */
-  readonly freed: () => void;
+  /** Called when some worker may be sent more work than before. */
+  readonly onCapacityFreed: () => void;
 }
 
-/** The only way of a node to its workers. */
+/** All access of a node to its workers. */
 export class WorkerGate {
   readonly registry: WorkerRegistry;
-  /** Workers behind the rules. */
+  /** The port to the workers, restricted by the rules. */
   readonly engine: EnginePort;
   private readonly evacuations = new ZoneEvacuations();
-  private readonly evacuationBelief: StaleEvacuationRule;
+  private readonly staleEvacuationRule: StaleEvacuationRule;
   private readonly coldWorkers: ColdWorkers;
 
   constructor(private readonly options: WorkerGateOptions) {
     const { node, topology, contactAge, hasPeers } = options;
     const { log, metrics, engine } = node;
     const limit = (): Milliseconds | undefined => evacuationAgeLimit(node.timings());
-    this.evacuationBelief = new StaleEvacuationRule({ limit, contactAge, hasPeers, log });
+    this.staleEvacuationRule = new StaleEvacuationRule({ limit, contactAge, hasPeers, log });
     this.coldWorkers = new ColdWorkers({
       ...options,
       ...{ self: node.node, clock: node.clock, log, metrics, tolerance: node.coldTolerance },
       registry: () => this.registry,
-      ask: options.askForPermits,
-      coldTimeOf: (worker) => engine.probeColdTime(worker, options.healthPathOf(worker)),
+      requestPermits: options.requestPermits,
+      probeColdTime: (worker) => engine.probeColdTime(worker, options.healthPathOf(worker)),
     });
     const rules = new SendRules([
       new ResidencyRule(topology),
       this.evacuations,
-      this.evacuationBelief,
+      this.staleEvacuationRule,
       this.coldWorkers.rule,
     ]);
     this.registry = new WorkerRegistry(rules, (...zones) => topology.distanceBetween(...zones));
     this.engine = new GuardedEngine({ engine, rules, log, metrics });
   }
 
-  /** Whether what this node knows of evacuations is too old to send anything on. */
-  get isOutdated(): boolean {
-    return this.evacuationBelief.isStale;
+  /** Whether the cached evacuation state is too old to send work by. */
+  get isEvacuationStateStale(): boolean {
+    return this.staleEvacuationRule.isStale;
   }
 
-  /** Whether a zone's workers are sent nothing now. */
   isEvacuated(zone: ZoneName): boolean {
     return this.evacuations.isEvacuated(zone);
   }
 
   /** The operator evacuates a zone. */
   evacuate(zone: ZoneName): void {
-    if (this.evacuations.begin(zone)) this.noteEvacuations('zone-evacuated', zone);
+    if (this.evacuations.begin(zone)) this.reportEvacuationChange('zone-evacuated', zone);
   }
 
-  /** The operator takes an evacuation back. */
+  /** The operator ends an evacuation. */
   endEvacuation(zone: ZoneName): void {
     if (!this.evacuations.end(zone)) return;
-    this.coldWorkers.noteReturned(zone);
-    this.noteEvacuations('zone-returned', zone);
+    this.coldWorkers.noteEvacuationEnded(zone);
+    this.reportEvacuationChange('zone-returned', zone);
   }
 
-  /** Takes in a worker's record, new or changed. */
+  /** Applies a worker's record, new or changed. */
   noteRecord(record: WorkerRecord): void {
     this.coldWorkers.noteRecord(record);
   }
 
-  /** All workers that were there before this node have been told. */
+  /** The initial list of workers is complete. */
   noteListed(): void {
     this.coldWorkers.noteListed();
   }
 
-  /** Answers another node's wishes for permits to send to cold workers. */
-  answerWishes(wishes: readonly PermitRequest[]): PermitAnswer {
-    return this.coldWorkers.answer(wishes);
+  /** Answers another node's requests for permits to send to cold workers. */
+  answerPermitRequests(requests: readonly PermitRequest[]): PermitAnswer {
+    return this.coldWorkers.answerRequests(requests);
   }
 
-  /** Regular work. */
   tick(): void {
-    this.evacuationBelief.tick();
+    this.staleEvacuationRule.tick();
     this.coldWorkers.tick();
   }
 
-  private noteEvacuations(change: 'zone-evacuated' | 'zone-returned', workerZone: ZoneName): void {
-    const { node, freed } = this.options;
-    // A zone without workers may be misspelled, or its workers may come later.
+  private reportEvacuationChange(
+    change: 'zone-evacuated' | 'zone-returned',
+    workerZone: ZoneName,
+  ): void {
+    const { node, onCapacityFreed } = this.options;
+    // The count shows a misspelled zone, or one whose workers have yet to register.
     const workers = this.registry.all().filter(({ record }) => record.zone === workerZone).length;
     node.log.state(change, { workerZone, workers });
     node.metrics.set('evacuated_zones', this.evacuations.evacuated().length);
-    freed();
+    onCapacityFreed();
   }
 }
--- a/test/fleet/cold-workers.test.ts
+++ b/test/fleet/cold-workers.test.ts
@@ -47,16 +47,16 @@
       services: () => [SERVICE],
       coordinator: () => this.coordinator,
       fencingToken: () => this.token,
-      ask: async (node, wishes) => {
+      requestPermits: async (node, wishes) => {
         this.asked.push({ node, wishes });
         return this.answer;
       },
-      coldTimeOf: async ({ id }) => {
+      probeColdTime: async ({ id }) => {
         this.looked.push(id);
         return this.coldTime;
       },
-      isCutOff: () => this.isCutOff,
-      freed: () => {
+      isStoreUnreachable: () => this.isCutOff,
+      onCapacityFreed: () => {
         this.freed += 1;
       },
       ...options,
@@ -182,11 +182,11 @@
   node.part.tick();
   node.add(COLD);
   const wish = { worker: 'w1', life: 'w1', permits: 2, doubtAge: undefined };
-  t.equal(node.part.answer([wish]).grants[0]?.permits, 0, 'not yet');
+  t.equal(node.part.answerRequests([wish]).grants[0]?.permits, 0, 'not yet');
   node.clock.time += TAKE_OVER;
   const late = worker('w3', { coldFor: 3_000 });
   node.add(late);
-  t.equal(node.part.answer([{ ...wish, worker: 'w3', life: 'w3' }]).grants[0]?.permits, 2);
+  t.equal(node.part.answerRequests([{ ...wish, worker: 'w3', life: 'w3' }]).grants[0]?.permits, 2);
   node.clock.time += 1_000;
   t.notOk(node.isFree(late));
   await eventually(() => node.freed === 1);
@@ -205,7 +205,7 @@
   if (first === undefined || second === undefined) throw new Error('two workers were added');
   t.ok(node.isFree(first) && node.isFree(second));
   node.coldTime = 1_500;
-  node.part.noteReturned('zone-1');
+  node.part.noteEvacuationEnded('zone-1');
   t.ok(node.isFree(second));
   t.notOk(node.isFree(first));
   node.clock.time += 1;
@@ -213,7 +213,7 @@
   t.same(node.looked, ['w1']);
   node.clock.time += 1_000;
   node.isFree(first);
-  node.part.answer([{ worker: 'w1', life: 'w1', permits: 1, doubtAge: undefined }]);
+  node.part.answerRequests([{ worker: 'w1', life: 'w1', permits: 1, doubtAge: undefined }]);
   t.same(node.looked, ['w1'], 'it told how long it stays cold');
   node.clock.time += 700;
   t.ok(node.isFree(first));
@@ -229,10 +229,10 @@
     node.part.noteListed();
     node.grant();
     node.coldTime = undefined;
-    node.part.noteReturned('zone-1');
+    node.part.noteEvacuationEnded('zone-1');
     const wish = { worker: 'w1', life: 'w1', permits: 1, doubtAge: undefined };
     for (let time = 0; time < 3_000; time += 100) {
-      t.equal(node.part.answer([wish]).grants[0]?.warmth.kind, 'doubtful');
+      t.equal(node.part.answerRequests([wish]).grants[0]?.warmth.kind, 'doubtful');
       await node.clock.sleep();
       node.clock.time += 100;
     }
@@ -269,7 +269,7 @@
   node.add(worker('w1'));
   node.isCutOff = true;
   node.token = 7;
-  node.part.noteReturned('zone-1');
+  node.part.noteEvacuationEnded('zone-1');
   node.part.tick();
   t.ok(node.isFree(worker('w1')));
   await new Promise((resolve) => setTimeout(resolve, 20));
--- a/test/fleet/job-placement.test.ts
+++ b/test/fleet/job-placement.test.ts
@@ -25,7 +25,7 @@
   t.same([...first].sort(), [...placed.owners()].sort());
   t.equal(placement(NAMES.slice(0, 7)).placed.owners().length, 3);
   t.same(placement(['node-1']).placed.ownersOf('job'), ['node-1']);
-  t.same(placed.offersFor('job'), placed.ownersOf('job').slice(0, 2), 'the owner and the next');
+  t.same(placed.offerTargets('job'), placed.ownersOf('job').slice(0, 2), 'the owner and the next');
 });
 
 t.test('a node that leaves moves only the jobs that it owned', async (t) => {
@@ -71,7 +71,7 @@
 t.test('where zones serve their own callers, one node of each runs its jobs', async (t) => {
   const { placed } = zonedPlacement('zone-1');
   t.same(placed.owners().map(zoneOf), ['zone-1', 'zone-0', 'zone-2']);
-  t.same(placed.offersFor('job').map(zoneOf), ['zone-1'], 'no job is offered to another zone');
+  t.same(placed.offerTargets('job').map(zoneOf), ['zone-1'], 'no job is offered to another zone');
   t.same(placed.ownersOf('job').map(zoneOf), ['zone-1', 'zone-0', 'zone-2']);
   t.same(placed.ownersOf('job', 'zone-2').map(zoneOf), ['zone-2', 'zone-0', 'zone-1']);
 });
@@ -86,14 +86,14 @@
 t.test('another node of the zone runs its jobs where the first does not answer', async (t) => {
   const isStrong = (node: string): boolean => Number(node.split('-')[1]) < 6;
   const { placed, clock } = zonedPlacement('zone-1', (node) => (isStrong(node) ? 1.35 : 0.3));
-  const [first = ''] = placed.offersFor('job');
+  const [first = ''] = placed.offerTargets('job');
   placed.noteUnresponsive(first);
-  const [second = ''] = placed.offersFor('job');
+  const [second = ''] = placed.offerTargets('job');
   t.not(second, first);
   t.equal(zoneOf(second), 'zone-1');
   t.ok(isStrong(first) && isStrong(second));
   clock.time += 10_000;
-  t.equal(placed.offersFor('job')[0], first);
+  t.equal(placed.offerTargets('job')[0], first);
 });
 
 /** The regions of the three zones. */
@@ -123,7 +123,7 @@
   const inTurn = placed.ownersOf('job', 'zone-0');
   t.same(inTurn.map(regionOf), ['north', 'north', 'south', 'south'], 'the owner and the next');
   t.equal(inTurn[0], placed.owners()[1]);
-  t.same(placed.offersFor('job').map(regionOf), ['south', 'south', 'north']);
+  t.same(placed.offerTargets('job').map(regionOf), ['south', 'south', 'north']);
   t.equal(placed.isByZone, false, 'a region keeps no journal');
 });
 
@@ -137,16 +137,16 @@
 t.test('a region without a node that answers has its jobs run by the other', async (t) => {
   const northOnly = ZONED.filter((node) => regionOf(node) === 'north');
   const { placed } = regionalPlacement('zone-2', northOnly);
-  t.same(placed.offersFor('job').map(regionOf), ['north']);
-  t.ok(placed.successorsIn('zone-2').length > 0);
+  t.same(placed.offerTargets('job').map(regionOf), ['north']);
+  t.ok(placed.takeoverCandidates('zone-2').length > 0);
 });
 
 t.test('the jobs of a node that left are looked for in its region first', async (t) => {
   const { placed } = regionalPlacement('zone-2');
-  t.ok(placed.successorsIn('zone-0').every((node) => regionOf(node) === 'north'));
-  t.equal(placed.isOfOtherRegion('zone-0'), true);
-  t.equal(placed.isOfOtherRegion('zone-2'), false);
-  t.equal(placed.isOfOtherRegion(undefined), false, 'a record of an older build');
+  t.ok(placed.takeoverCandidates('zone-0').every((node) => regionOf(node) === 'north'));
+  t.equal(placed.isInOtherRegion('zone-0'), true);
+  t.equal(placed.isInOtherRegion('zone-2'), false);
+  t.equal(placed.isInOtherRegion(undefined), false, 'a record of an older build');
 });
 
 t.test('a job that its owner gives up or does not answer for stays in its region', async (t) => {
--- a/test/fleet/job-takeover.test.ts
+++ b/test/fleet/job-takeover.test.ts
@@ -50,7 +50,7 @@
     self: OWNER,
     placement: placementOf(fleet),
     peers,
-    adoptElsewhere: async () => false,
+    requestTakeover: async () => false,
   });
   const spec = specification('job', 4);
   const created = await store.create(spec, headOf(spec, OTHER), always);
@@ -90,9 +90,9 @@
 
 t.test('a suspected owner loses its job unless it is trusted again meanwhile', async (t) => {
   const fixture = await besideOwner();
-  await fixture.takeover.takeFrom(OTHER, false, () => false);
+  await fixture.takeover.takeOverFrom(OTHER, false, () => false);
   t.notOk(runsJob(fixture));
-  await fixture.takeover.takeFrom(OTHER, false, () => true);
+  await fixture.takeover.takeOverFrom(OTHER, false, () => true);
   t.ok(runsJob(fixture));
   await fixture.stop();
 });
@@ -100,7 +100,7 @@
 t.test('a job of an owner that is lost in an outage is taken as the store returns', async (t) => {
   const fixture = await besideOwner();
   fixture.emulator.setAvailability('refusing');
-  await fixture.takeover.takeFrom(OTHER, false, () => true);
+  await fixture.takeover.takeOverFrom(OTHER, false, () => true);
   t.notOk(runsJob(fixture));
   await PROCESS_CLOCK.sleep(500);
   fixture.emulator.setAvailability('up');
@@ -127,7 +127,7 @@
   const spec = specification('unseen', 1);
   const store = new JobStore(fixture.emulator, PROCESS_CLOCK);
   await store.create(spec, headOf(spec, owner), always);
-  fixture.takeover.scanSoon();
+  fixture.takeover.scheduleScan();
   await eventually(() => fixture.peers.asked.some(({ address }) => address === '127.0.0.1:9'));
   await eventually(() => fixture.peers.asked.length >= 2);
   t.notOk(fixture.service.ownedJobs().some((job) => job.spec.id === 'unseen'));
@@ -153,7 +153,7 @@
     const options = { store, service: jobs.service, fleet, self, peers: new StubPeers() };
     const placement = placementOf(fleet);
     const adoptElsewhere = async (): Promise<boolean> => false;
-    const takeover = new JobTakeover({ ...options, placement, adoptElsewhere });
+    const takeover = new JobTakeover({ ...options, placement, requestTakeover: adoptElsewhere });
     return { fleet, jobs, placement, takeover };
   });
   for (const { fleet } of nodes) fleet.start();
--- a/test/fleet/model-assignment.test.ts
+++ b/test/fleet/model-assignment.test.ts
@@ -36,17 +36,17 @@
 
 t.test('shares follow the work asked of each model', async (t) => {
   const assignment = new ModelAssignment();
-  assignment.noteWork('a', 1_000);
-  assignment.noteWork('b', 2_000);
-  assignment.noteWork('c', 3_000);
+  assignment.recordDemand('a', 1_000);
+  assignment.recordDemand('b', 2_000);
+  assignment.recordDemand('c', 3_000);
   t.same(sizes(divide(assignment, workers(30))), [6, 10, 14]);
 });
 
 t.test('a model without work keeps a few workers', async (t) => {
   const assignment = new ModelAssignment();
-  assignment.noteWork('a', 1_000);
-  assignment.noteWork('b', 0);
-  assignment.noteWork('c', 1_000);
+  assignment.recordDemand('a', 1_000);
+  assignment.recordDemand('b', 0);
+  assignment.recordDemand('c', 1_000);
   t.same(sizes(divide(assignment, workers(20))), [9, 2, 9]);
 });
 
@@ -56,9 +56,9 @@
 
 t.test('workers stay with their models while work changes little', async (t) => {
   const assignment = new ModelAssignment();
-  for (const model of MODELS) assignment.noteWork(model, 1_000);
+  for (const model of MODELS) assignment.recordDemand(model, 1_000);
   const before = divide(assignment, workers(30));
-  assignment.noteWork('a', 1_150);
+  assignment.recordDemand('a', 1_150);
   t.same(divide(assignment, workers(30)), before);
 });
 
@@ -137,7 +137,7 @@
   // A division from before anything was asked does not stay.
   divide(assignment, fleet);
   MODELS.forEach((model, index) => {
-    assignment.noteWork(model, 1_000, `zone-${index}`);
+    assignment.recordDemand(model, 1_000, `zone-${index}`);
   });
   t.same(sharesAtHome(divide(assignment, fleet), fleet), [1, 1, 1]);
 });
@@ -146,7 +146,7 @@
   const assignment = new ModelAssignment();
   const fleet = zonedWorkers(30);
   [2_000, 2_000, 1_000].forEach((tokens, index) => {
-    assignment.noteWork(MODELS[index] ?? '', tokens, `zone-${index}`);
+    assignment.recordDemand(MODELS[index] ?? '', tokens, `zone-${index}`);
   });
   const division = divide(assignment, fleet);
   t.same(sizes(division), [12, 11, 7]);
@@ -160,7 +160,7 @@
   const fleet = zonedWorkers(30);
   const ask = () => {
     MODELS.forEach((model, index) => {
-      assignment.noteWork(model, 1_000, `zone-${index}`);
+      assignment.recordDemand(model, 1_000, `zone-${index}`);
     });
   };
   ask();
@@ -213,9 +213,9 @@
 t.test('an evacuation that takes all workers of a model away gives it others', async (t) => {
   const assignment = new ModelAssignment();
   const all = threeZones();
-  assignment.noteWork('a', 1_000, 'zone-1');
-  assignment.noteWork('b', 1_000, 'zone-2');
-  assignment.noteWork('c', 1_000, 'zone-3');
+  assignment.recordDemand('a', 1_000, 'zone-1');
+  assignment.recordDemand('b', 1_000, 'zone-2');
+  assignment.recordDemand('c', 1_000, 'zone-3');
   const before = divide(assignment, all);
   const during = divideWithout(assignment, all, ['zone-1']);
   t.ok((during.get('a') ?? []).length >= 6, `${during.get('a')}`);
@@ -277,9 +277,9 @@
 t.test('a model gets the workers of its region, and others only as its load asks', async (t) => {
   const assignment = new ModelAssignment(NORTH_OR_SOUTH);
   const fleet = regionalWorkers();
-  assignment.noteWork('a', 2_000, 'zone-0');
-  assignment.noteWork('b', 2_000, 'zone-1');
-  assignment.noteWork('c', 1_000, 'zone-2');
+  assignment.recordDemand('a', 2_000, 'zone-0');
+  assignment.recordDemand('b', 2_000, 'zone-1');
+  assignment.recordDemand('c', 1_000, 'zone-2');
   const division = divide(assignment, fleet);
   const regions = new Map(fleet.map(({ id, zone }) => [id, NORTH_OR_SOUTH(zone)]));
   const inNorth = MODELS.map(
@@ -299,7 +299,7 @@
   const fleet = regionalWorkers();
   const ask = (zones: readonly string[]): void => {
     MODELS.forEach((model, index) => {
-      assignment.noteWork(model, 1_000, zones[index]);
+      assignment.recordDemand(model, 1_000, zones[index]);
     });
   };
   ask(['zone-0', 'zone-1', 'zone-2']);
--- a/test/fleet/regional-takeover.test.ts
+++ b/test/fleet/regional-takeover.test.ts
@@ -39,7 +39,7 @@
   const offered: string[] = [];
   const takeover = new JobTakeover({
     ...{ store, service: node.service, fleet, self: OWNER, placement, peers: new StubPeers() },
-    adoptElsewhere: async (name) => {
+    requestTakeover: async (name) => {
       offered.push(name);
       return takesJobs;
     },
--- a/test/fleet/submission-router.test.ts
+++ b/test/fleet/submission-router.test.ts
@@ -6,7 +6,7 @@
 import type { FleetRegistry } from '../../src/fleet/fleet-registry.js';
 import type { JobPlacement } from '../../src/fleet/job-placement.js';
 import type { PeerRequester } from '../../src/fleet/peer-requester.js';
-import { SUBMIT_LIMIT, SubmissionRouter } from '../../src/fleet/submission-router.js';
+import { SUBMISSION_TIMEOUT, SubmissionRouter } from '../../src/fleet/submission-router.js';
 import type { PeerRequestOf } from '../../src/peers/peer-messages.js';
 import { ManualClock, OWNER, specification } from '../jobs/job-fixtures.js';
 
@@ -29,7 +29,7 @@
     },
   } as unknown as PeerRequester;
   const placement = {
-    offersFor: () => ['node-2', 'node-3'],
+    offerTargets: () => ['node-2', 'node-3'],
     noteUnresponsive: () => {},
   } as unknown as JobPlacement;
   const fleet = { isStoreUnreachable: false } as unknown as FleetRegistry;
@@ -54,7 +54,10 @@
   });
   const startedAt = clock.now();
   const path = await router.route(specification('job', 1));
-  t.ok(clock.now() - startedAt <= SUBMIT_LIMIT, `refused after ${clock.now() - startedAt} ms`);
+  t.ok(
+    clock.now() - startedAt <= SUBMISSION_TIMEOUT,
+    `refused after ${clock.now() - startedAt} ms`,
+  );
   t.match(path, { kind: 'answered', failure: { kind: 'ledger_unavailable' } });
   t.same(asked, ['node-2'], 'nobody is asked for whom no time is left');
 });
@@ -68,7 +71,7 @@
   });
   t.same(await router.route(specification('job', 1)), { kind: 'answered', failure: undefined });
   t.same(asked, ['node-2', 'node-3']);
-  t.same(limits, [SUBMIT_LIMIT, SUBMIT_LIMIT - 1_500]);
+  t.same(limits, [SUBMISSION_TIMEOUT, SUBMISSION_TIMEOUT - 1_500]);
 });
 
 t.test('owners that refuse at once leave the job to the node that was called', async (t) => {
--- a/test/fleet/weight-rollout.test.ts
+++ b/test/fleet/weight-rollout.test.ts
@@ -1,7 +1,7 @@
 import t from 'tap';
 import { dueChanges, type RolloutTarget } from '../../src/fleet/due-changes.js';
-import { noteWeightChange, type WeightChange } from '../../src/fleet/weight-changes.js';
-import { loadsAtOnce, WeightRollout } from '../../src/fleet/weight-rollout.js';
+import { applyWeightChange, type WeightChange } from '../../src/fleet/weight-changes.js';
+import { maxConcurrentLoads, WeightRollout } from '../../src/fleet/weight-rollout.js';
 import { mayRun } from '../../src/jobs/item-placement.js';
 import { KnownWorker, WorkerRegistry } from '../../src/serving/worker-registry.js';
 import { FleetMetrics } from '../../src/telemetry/fleet-metrics.js';
@@ -79,9 +79,9 @@
 });
 
 t.test('a large fleet loads more workers at once than a small one', async (t) => {
-  t.equal(loadsAtOnce(3), 2);
-  t.equal(loadsAtOnce(8), 2);
-  t.equal(loadsAtOnce(32), 9);
+  t.equal(maxConcurrentLoads(3), 2);
+  t.equal(maxConcurrentLoads(8), 2);
+  t.equal(maxConcurrentLoads(32), 9);
 });
 
 t.test('looks that take long are made less often, short ones at each tick', async (t) => {
@@ -237,15 +237,15 @@
     known !== undefined && mayRun(known, { ...needs, model }, now);
   const [loading, loaded] = changes;
   if (loading === undefined || loaded === undefined) return t.fail('nothing was told');
-  noteWeightChange(other, loading, 1_000);
+  applyWeightChange(other, loading, 1_000);
   t.notOk(may('model-a', 1_500));
   t.ok(may('model-a', 3_000), 'an end that is not told is not waited for');
-  noteWeightChange(other, loading, 4_000);
-  noteWeightChange(other, loaded, 4_100);
+  applyWeightChange(other, loading, 4_000);
+  applyWeightChange(other, loaded, 4_100);
   t.ok(may('model-a', 4_200));
   t.equal(known?.versionOf('model-a'), 5);
   other.put(worker('w1', { startedAt: 2_000 }));
-  noteWeightChange(other, loading, 5_000);
+  applyWeightChange(other, loading, 5_000);
   t.notOk(other.get('w1')?.isLoading('model-a', 5_100), 'that was another life');
 });
 
--- a/test/fleet/worker-roster.test.ts
+++ b/test/fleet/worker-roster.test.ts
@@ -27,7 +27,7 @@
   t.teardown(() => mock.timers.reset());
   const { roster, registry, engine } = fixture();
   roster.put(worker('w1'));
-  roster.noteGone('w1');
+  roster.handleRemoval('w1');
   t.same(registry.available('service'), []);
   t.same(engine.forgotten, [], 'its connections stay open');
   mock.timers.tick(13_000);
@@ -61,7 +61,7 @@
   t.teardown(() => mock.timers.reset());
   const { roster, registry, engine } = fixture();
   roster.put(worker('w1'));
-  roster.noteGone('w1');
+  roster.handleRemoval('w1');
   roster.put(worker('w1'));
   t.equal(registry.available('service').length, 1);
   mock.timers.tick(13_000);
@@ -76,7 +76,7 @@
     t.teardown(() => mock.timers.reset());
     const { roster, registry } = fixture(true);
     roster.put(worker('w1'));
-    roster.noteGone('w1');
+    roster.handleRemoval('w1');
     mock.timers.tick(1_000);
     t.equal(registry.available('service').length, 1);
     mock.timers.tick(1_000);
@@ -104,8 +104,8 @@
   const { roster, registry } = fixture();
   roster.put(worker('w1'));
   roster.put(worker('w2'));
-  roster.noteUnreadable('w1');
-  roster.noteUnreadable('never-known');
+  roster.handleUnreadable('w1');
+  roster.handleUnreadable('never-known');
   t.same(
     registry.available('service').map(({ record }) => record.id),
     ['w2'],
