--- a/test/fleet/evacuation-fleet.ts
+++ b/test/fleet/evacuation-fleet.ts
@@ -1,4 +1,4 @@
-/** Gateways and workers of three zones, for tests of evacuations. */
+/** Gateways and workers in three zones, for tests of evacuations. */
 import { Readable } from 'node:stream';
 import type t from 'tap';
 import {
@@ -12,15 +12,15 @@
 import type { EngineOutcome, EnginePort, EngineRequest } from '../../src/serving/engine-port.js';
 import { eventually } from './fleet-fixtures.js';
 
-/** Time in which an evacuation has to be in force at nodes in touch. */
+/** Time limit for an evacuation to take effect at connected nodes. */
 export const EVACUATION_BOUND: Milliseconds = 700;
 
-/** Time in which a configuration has to be; it sets how often nodes hear from each other. */
+/** Time limit for a configuration change; it sets the interval of contacts between nodes. */
 const CHANGE_BOUND: Milliseconds = 400;
 
 export const ZONES: readonly ZoneName[] = ['zone-1', 'zone-2', 'zone-3'];
 
-/** Workers that answer lookups at once and tell where they are. */
+/** Workers that answer lookups at once with their zone. */
 class LookupWorkers implements EnginePort {
   async send(request: EngineRequest): Promise<EngineOutcome> {
     return {
@@ -50,7 +50,7 @@
   forget(): void {}
 }
 
-/** A fleet whose operator evacuates zones. */
+/** A fleet in which tests evacuate zones. */
 export class EvacuationFleet {
   readonly joined: JoinedGateways;
 
@@ -60,7 +60,7 @@
     });
   }
 
-  /** Two gateways and two workers in each of three zones. */
+  /** Starts two gateways and two workers in each zone. */
   static async start(
     test: Pick<typeof t, 'teardown'>,
     timings: Partial<FleetTimings> = {},
@@ -72,7 +72,7 @@
     test.teardown(() => fleet.joined.stop());
     await fleet.joined.start(2 * ZONES.length, 2, ZONES.length);
     await fleet.joined.formed();
-    await fleet.allSendTo(ZONES);
+    await fleet.untilAllSendTo(ZONES);
     return fleet;
   }
 
@@ -80,8 +80,7 @@
     return this.joined.gateways;
   }
 
-  /** The gateways of a zone. */
-  of(zone: ZoneName): JoinedGateway[] {
+  gatewaysIn(zone: ZoneName): JoinedGateway[] {
     return this.gateways.filter((gateway) => gateway.zone === zone);
   }
 
@@ -89,31 +88,35 @@
     this.joined.store.write(`op/evacuate/${zone}`, '{}');
   }
 
-  takeBack(zone: ZoneName): void {
+  endEvacuation(zone: ZoneName): void {
     this.joined.store.erase(`op/evacuate/${zone}`);
   }
 
-  /** Resolves, with the time that it took, once these gateways send work to just these zones. */
-  async allSendTo(zones: readonly ZoneName[], gateways = this.gateways): Promise<Milliseconds> {
+  /** Resolves to the elapsed time once these gateways send work to exactly these zones. */
+  async untilAllSendTo(
+    zones: readonly ZoneName[],
+    gateways = this.gateways,
+  ): Promise<Milliseconds> {
     const startedAt = performance.now();
     await eventually(() => gateways.every((one) => receivingZones(one).join() === zones.join()));
     return performance.now() - startedAt;
   }
 
-  /** The zone of the worker that a lookup at a gateway came to; `undefined` where it is refused. */
+  /**
+   * Sends a lookup; returns the zone of the worker that answers, or `undefined` if the lookup
+   * fails.
+   */
   async lookUp(gateway: JoinedGateway): Promise<ZoneName | undefined> {
     const { body, failure } = await this.joined.ask(gateway, '/look/x', '');
     return failure === undefined ? body : undefined;
   }
 }
 
-/** The zones whose workers a gateway would send a lookup to. */
 export function receivingZones({ node }: JoinedGateway): ZoneName[] {
   const receivers = node.registry.eligible(LOOKUP_SERVICE, undefined);
   return [...new Set(receivers.map(({ record }) => record.zone))].sort();
 }
 
-/** Whether a gateway wrote a line of this event. */
 export function hasLogged({ lines }: JoinedGateway, event: string): boolean {
   return lines.some((line) => JSON.parse(line).msg === event);
 }
--- a/test/fleet/job-takeover.test.ts
+++ b/test/fleet/job-takeover.test.ts
@@ -33,8 +33,8 @@
   });
 }
 
-/** A node beside another one that runs a job of four items, one of which is listed. */
-async function besideOwner(): Promise<Fixture> {
+/** A node beside another one that runs a job of four items, one of them with a stored result. */
+async function startBesideOwner(): Promise<Fixture> {
   const emulator = new SharedStoreEmulator();
   const peers = new StubPeers();
   const { log } = recordingLog();
@@ -70,8 +70,8 @@
 const runsJob = (fixture: Fixture): boolean =>
   fixture.service.ownedJobs().some((job) => job.spec.id === 'job' && job.isOpen);
 
-t.test('a job of a node that is gone is taken over with its results', async (t) => {
-  const fixture = await besideOwner();
+t.test('a job of a terminated node is taken over with its results', async (t) => {
+  const fixture = await startBesideOwner();
   fixture.emulator.erase('fleet/node/node-2');
   await eventually(() => runsJob(fixture));
   t.same(fixture.service.ownedJobs()[0]?.results, [result(0)]);
@@ -79,8 +79,8 @@
   await fixture.stop();
 });
 
-t.test('an owner whose lease lapsed, but that answers, keeps its job', async (t) => {
-  const fixture = await besideOwner();
+t.test('an owner whose lease expired keeps its job if it answers a probe', async (t) => {
+  const fixture = await startBesideOwner();
   fixture.peers.alive.add(OTHER_ADDRESS);
   fixture.emulator.erase('fleet/node/node-2');
   await eventually(() => fixture.peers.asked.length >= 2);
@@ -88,8 +88,8 @@
   await fixture.stop();
 });
 
-t.test('a suspected owner loses its job unless it is trusted again meanwhile', async (t) => {
-  const fixture = await besideOwner();
+t.test('a suspected owner loses its job unless the suspicion is withdrawn', async (t) => {
+  const fixture = await startBesideOwner();
   await fixture.takeover.takeOverFrom(OTHER, false, () => false);
   t.notOk(runsJob(fixture));
   await fixture.takeover.takeOverFrom(OTHER, false, () => true);
@@ -97,44 +97,53 @@
   await fixture.stop();
 });
 
-t.test('a job of an owner that is lost in an outage is taken as the store returns', async (t) => {
-  const fixture = await besideOwner();
-  fixture.emulator.setAvailability('refusing');
-  await fixture.takeover.takeOverFrom(OTHER, false, () => true);
-  t.notOk(runsJob(fixture));
-  await PROCESS_CLOCK.sleep(500);
-  fixture.emulator.setAvailability('up');
-  const startedAt = performance.now();
-  await eventually(() => runsJob(fixture));
-  t.ok(performance.now() - startedAt < 1_000);
-  await fixture.stop();
-});
+t.test(
+  'a job whose owner is lost during an outage is taken over once the store is back',
+  async (t) => {
+    const fixture = await startBesideOwner();
+    fixture.emulator.setAvailability('refusing');
+    await fixture.takeover.takeOverFrom(OTHER, false, () => true);
+    t.notOk(runsJob(fixture));
+    await PROCESS_CLOCK.sleep(500);
+    fixture.emulator.setAvailability('up');
+    const startedAt = performance.now();
+    await eventually(() => runsJob(fixture));
+    t.ok(performance.now() - startedAt < 1_000);
+    await fixture.stop();
+  },
+);
 
-t.test('a replaced life of the owner is gone, though its address answers', async (t) => {
-  const fixture = await besideOwner();
-  fixture.peers.otherLives.add(OTHER_ADDRESS);
-  const replaced = { ...JSON.parse(OTHER_RECORD), incarnation: 'life-3' };
-  fixture.emulator.write('fleet/node/node-2', JSON.stringify(replaced));
-  await eventually(() => runsJob(fixture));
-  t.pass('the address answers for another life');
-  await fixture.stop();
-});
+t.test(
+  'a replaced incarnation of the owner loses its job though its address answers',
+  async (t) => {
+    const fixture = await startBesideOwner();
+    fixture.peers.otherLives.add(OTHER_ADDRESS);
+    const replaced = { ...JSON.parse(OTHER_RECORD), incarnation: 'life-3' };
+    fixture.emulator.write('fleet/node/node-2', JSON.stringify(replaced));
+    await eventually(() => runsJob(fixture));
+    t.pass('the address answers for another incarnation');
+    await fixture.stop();
+  },
+);
 
-t.test('an owner that this node never saw live is asked before its job is taken', async (t) => {
-  const fixture = await besideOwner();
-  fixture.peers.alive.add('127.0.0.1:9');
-  const owner = { node: 'node-9', incarnation: 'life-9', address: '127.0.0.1:9' };
-  const spec = specification('unseen', 1);
-  const store = new JobStore(fixture.emulator, PROCESS_CLOCK);
-  await store.create(spec, headOf(spec, owner), always);
-  fixture.takeover.scheduleScan();
-  await eventually(() => fixture.peers.asked.some(({ address }) => address === '127.0.0.1:9'));
-  await eventually(() => fixture.peers.asked.length >= 2);
-  t.notOk(fixture.service.ownedJobs().some((job) => job.spec.id === 'unseen'));
-  await fixture.stop();
-});
+t.test(
+  'an owner that this node never saw live is probed before its job is taken over',
+  async (t) => {
+    const fixture = await startBesideOwner();
+    fixture.peers.alive.add('127.0.0.1:9');
+    const owner = { node: 'node-9', incarnation: 'life-9', address: '127.0.0.1:9' };
+    const spec = specification('unseen', 1);
+    const store = new JobStore(fixture.emulator, PROCESS_CLOCK);
+    await store.create(spec, headOf(spec, owner), always);
+    fixture.takeover.scheduleScan();
+    await eventually(() => fixture.peers.asked.some(({ address }) => address === '127.0.0.1:9'));
+    await eventually(() => fixture.peers.asked.length >= 2);
+    t.notOk(fixture.service.ownedJobs().some((job) => job.spec.id === 'unseen'));
+    await fixture.stop();
+  },
+);
 
-t.test('of many nodes a few look for the jobs of one that left', async (t) => {
+t.test('only a few nodes scan for the jobs of a terminated node', async (t) => {
   const emulator = new SharedStoreEmulator();
   const { log } = recordingLog();
   const clock = PROCESS_CLOCK;
@@ -152,13 +161,13 @@
     };
     const options = { store, service: jobs.service, fleet, self, peers: new StubPeers() };
     const placement = placementOf(fleet);
-    const adoptElsewhere = async (): Promise<boolean> => false;
-    const takeover = new JobTakeover({ ...options, placement, requestTakeover: adoptElsewhere });
+    const requestTakeover = async (): Promise<boolean> => false;
+    const takeover = new JobTakeover({ ...options, placement, requestTakeover });
     return { fleet, jobs, placement, takeover };
   });
   for (const { fleet } of nodes) fleet.start();
   await eventually(() => nodes.every(({ fleet }) => fleet.liveNodes().length === names.length));
-  // Each first list made those look that were to run jobs as they saw the fleet then.
+  // Nodes that were owners by their first membership list scan once.
   await clock.sleep(2_500);
   scans.clear();
   await nodes[0]?.fleet.stop();
@@ -175,7 +184,7 @@
 });
 
 t.test('a job that is being taken over is not taken over again', async (t) => {
-  const fixture = await besideOwner();
+  const fixture = await startBesideOwner();
   const { emulator, takeover, lines } = fixture;
   const range = emulator.range.bind(emulator);
   emulator.range = async (prefix, afterKey) => {
@@ -188,13 +197,13 @@
   await eventually(() => emulator.valueOf('job/head/job')?.includes(OWNER.incarnation) === true);
   await takeover.sweep();
   await first;
-  const adopted = lines.filter((line) => line.includes('job-adopted'));
-  t.equal(adopted.length, 1);
+  const takeovers = lines.filter((line) => line.includes('job-adopted'));
+  t.equal(takeovers.length, 1);
   await fixture.stop();
 });
 
-t.test('an owner that answers and does not reach the store loses its job', async (t) => {
-  const fixture = await besideOwner();
+t.test('an owner that answers but cannot reach the store loses its job', async (t) => {
+  const fixture = await startBesideOwner();
   fixture.peers.alive.add(OTHER_ADDRESS);
   fixture.peers.cutOff.add(OTHER_ADDRESS);
   fixture.emulator.erase('fleet/node/node-2');
--- a/test/fleet/jobs-in-regions.test.ts
+++ b/test/fleet/jobs-in-regions.test.ts
@@ -1,6 +1,6 @@
 /**
- * Jobs in whole gateways of two regions: where they lie, run and are read with limits to regions and without,
- * while regions are cut off, after owners are lost, and when a limit comes later.
+ * Jobs in gateways of two regions, with and without region limits: placement, reads, takeover,
+ * partitions and later changes of a limit.
  */
 import t from 'tap';
 import { PROCESS_CLOCK } from '../../src/serving/clock.js';
@@ -15,7 +15,7 @@
   replicasInAllZones,
 } from './regional-gateways.js';
 
-/** Three gateways in each region, so that owners by hash alone would be found in both. */
+/** Three gateways in each region, so that a rendezvous hash alone would select owners in both. */
 const LAYOUT = {
   ...{ 'n-1': 'north-1', 'n-2': 'north-1', 'n-3': 'north-2' },
   ...{ 's-1': 'south-1', 's-2': 'south-1', 's-3': 'south-2' },
@@ -30,13 +30,13 @@
   return fleet;
 }
 
-/** Reads a job until all of its results are listed. */
-async function whole(fleet: RegionalGateways, at: string, job: string): Promise<void> {
+/** Polls a job until all of its results are listed. */
+async function untilResultsListed(fleet: RegionalGateways, at: string, job: string): Promise<void> {
   const { node } = fleet.named(at);
   let listed = 0;
   const read = async (): Promise<void> => {
-    const told = await node.jobs.read(job, 0, 0, UNRESTRICTED);
-    listed = 'results' in told ? told.results.length : 0;
+    const answer = await node.jobs.read(job, 0, 0, UNRESTRICTED);
+    listed = 'results' in answer ? answer.results.length : 0;
   };
   await eventually(() => {
     void read();
@@ -45,13 +45,13 @@
 }
 
 t.test(
-  'a job lies, runs and is read in its region, whichever gateway its caller has',
+  'a job is stored, run and read in its region, whichever gateway its caller uses',
   async (t) => {
     const fleet = await fleetWith(LIMITED_TO_SOUTH);
     for (const [index, job] of JOBS.entries()) {
       const at = ['n-1', 's-1', 'n-3'][index % 3] ?? 'n-1';
       t.equal(await fleet.named(at).node.submit(jobOn('pinned', job), always), undefined, job);
-      await whole(fleet, at, job);
+      await untilResultsListed(fleet, at, job);
     }
     t.same(fleet.workerRegions(), ['south']);
     const north = fleet.deliveries.filter(({ to }) => to.startsWith('n'));
@@ -63,13 +63,13 @@
       north.some(({ to }) => to === 'n-2'),
       'no caller is connected there',
     );
-    t.equal(fleet.reachedIn('south').length > 0, true, 'the oracle sees bodies');
+    t.equal(fleet.reachedIn('south').length > 0, true, 'the recorder sees bodies');
     await fleet.stop();
   },
 );
 
 t.test(
-  'where a route and a tenant disagree, nothing is allowed, and that is told at once',
+  'disjoint limits of a route and a tenant allow no region, and jobs are rejected at once',
   async (t) => {
     const fleet = await fleetWith({ ...LIMITED_TO_SOUTH, tenants: { owner: ['north'] } });
     const startedAt = PROCESS_CLOCK.now();
@@ -85,7 +85,7 @@
   },
 );
 
-t.test('a tenant’s regions bind on a route without any', async (t) => {
+t.test('the limit of a tenant applies on a route without one', async (t) => {
   const fleet = await fleetWith({ tenants: { owner: ['south'] } });
   for (const job of JOBS) {
     await fleet.named('n-1').node.submit(jobOn('free', job, 'owner'), always);
@@ -96,50 +96,56 @@
   await fleet.stop();
 });
 
-t.test('a region that no zone lies in allows nothing, and the log names it', async (t) => {
+t.test('a limit to an unknown region allows no region, and is logged', async (t) => {
   const fleet = await fleetWith({ routes: { pinned: ['suoth'] } });
   const { node, lines } = fleet.named('n-1');
   t.match(lines.join(''), /"limits":"route pinned".*"region":"suoth".*region-unknown/);
   t.match(await node.submit(jobOn('pinned', 'job'), always), { kind: 'region_unavailable' });
   t.same(fleet.deliveries, []);
-  t.equal(await node.submit(jobOn('free', 'other'), always), undefined, 'other work goes on');
+  t.equal(await node.submit(jobOn('free', 'other'), always), undefined, 'other work continues');
   await fleet.stop();
 });
 
-t.test('while the regions are apart, a gateway outside refuses what nobody has', async (t) => {
-  const fleet = await fleetWith(LIMITED_TO_SOUTH);
-  fleet.areRegionsApart = true;
-  const refusal = await fleet.named('n-1').node.submit(jobOn('pinned', 'job'), always);
-  t.match(refusal, { kind: 'region_unavailable' }, 'nobody was sent it');
-  t.same(fleet.deliveries, []);
-  t.same(fleet.runnersOf('job'), []);
-  fleet.areRegionsApart = false;
-  t.equal(await fleet.named('s-1').node.submit(jobOn('pinned', 'job'), always), undefined);
-  fleet.areRegionsApart = true;
-  t.equal(
-    await fleet.named('n-2').node.submit(jobOn('pinned', 'job'), always),
-    undefined,
-    'a repetition of what the store knows is taken',
-  );
-  await fleet.stop();
-});
+t.test(
+  'while regions are partitioned, a gateway outside rejects jobs that are not stored',
+  async (t) => {
+    const fleet = await fleetWith(LIMITED_TO_SOUTH);
+    fleet.areRegionsApart = true;
+    const refusal = await fleet.named('n-1').node.submit(jobOn('pinned', 'job'), always);
+    t.match(refusal, { kind: 'region_unavailable' }, 'it was sent to no node');
+    t.same(fleet.deliveries, []);
+    t.same(fleet.runnersOf('job'), []);
+    fleet.areRegionsApart = false;
+    t.equal(await fleet.named('s-1').node.submit(jobOn('pinned', 'job'), always), undefined);
+    fleet.areRegionsApart = true;
+    t.equal(
+      await fleet.named('n-2').node.submit(jobOn('pinned', 'job'), always),
+      undefined,
+      'a repetition of a stored job is accepted',
+    );
+    await fleet.stop();
+  },
+);
 
-t.test('after all owners of a region are gone their jobs wait for that region', async (t) => {
-  const fleet = await fleetWith(LIMITED_TO_SOUTH);
-  fleet.engine.holds = true;
-  await fleet.named('n-1').node.submit(jobOn('pinned', 'job'), always);
-  const [owner = ''] = fleet.runnersOf('job');
-  t.ok(SOUTHERN.includes(owner), owner);
-  for (const name of SOUTHERN) fleet.store.erase(`fleet/node/${name}`);
-  fleet.areRegionsApart = true;
-  // Longer than the turns of all nodes that look for the jobs of one that left.
-  await PROCESS_CLOCK.sleep(3_500);
-  t.notOk(fleet.runnersOf('job').some((name) => name.startsWith('n')));
-  t.same(fleet.reachedIn('north'), []);
-  await fleet.stop();
-});
+t.test(
+  'jobs limited to a region wait for it after all of its owners have terminated',
+  async (t) => {
+    const fleet = await fleetWith(LIMITED_TO_SOUTH);
+    fleet.engine.holds = true;
+    await fleet.named('n-1').node.submit(jobOn('pinned', 'job'), always);
+    const [owner = ''] = fleet.runnersOf('job');
+    t.ok(SOUTHERN.includes(owner), owner);
+    for (const name of SOUTHERN) fleet.store.erase(`fleet/node/${name}`);
+    fleet.areRegionsApart = true;
+    // Longer than the delays of all nodes that scan for the jobs of a lost owner.
+    await PROCESS_CLOCK.sleep(3_500);
+    t.notOk(fleet.runnersOf('job').some((name) => name.startsWith('n')));
+    t.same(fleet.reachedIn('north'), []);
+    await fleet.stop();
+  },
+);
 
-t.test('a job is taken over within its region, whoever finds it without an owner', async (t) => {
+t.test('a job is taken over within its region, whichever node finds it orphaned', async (t) => {
   const fleet = await fleetWith(LIMITED_TO_SOUTH);
   fleet.engine.holds = true;
   for (const job of JOBS) await fleet.named('n-1').node.submit(jobOn('pinned', job), always);
@@ -156,7 +162,7 @@
 });
 
 t.test(
-  'a limit that comes while a job runs moves it, and nothing of it is sent elsewhere',
+  'a limit added while a job runs transfers the job, and later items stay in the region',
   async (t) => {
     const fleet = await fleetWith({ routes: { pinned: ['north'] } });
     fleet.engine.holds = true;
@@ -181,7 +187,7 @@
   },
 );
 
-t.test('a job whose route is gone stays in the region in which it was taken in', async (t) => {
+t.test('a job whose route is removed stays in the region that accepted it', async (t) => {
   const fleet = await fleetWith({ routes: { pinned: ['south'], other: ['north'] } });
   fleet.engine.holds = true;
   await fleet.named('s-1').node.submit(jobOn('pinned', 'job'), always);
@@ -195,10 +201,10 @@
   await fleet.stop();
 });
 
-t.test('a gateway without the store has results read within their region', async (t) => {
+t.test('a gateway without the store reads results within their region', async (t) => {
   const fleet = await fleetWith(LIMITED_TO_SOUTH);
   await fleet.named('s-1').node.submit(jobOn('pinned', 'job'), always);
-  await whole(fleet, 's-1', 'job');
+  await untilResultsListed(fleet, 's-1', 'job');
   fleet.withoutStore.add('n-1');
   await PROCESS_CLOCK.sleep(1_500);
   fleet.deliveries.length = 0;
@@ -208,10 +214,10 @@
   await fleet.stop();
 });
 
-t.test('a gateway outside remembers who has a job, and asks the store no more', async (t) => {
+t.test('a gateway outside caches the owner of a job and reads the store no more', async (t) => {
   const fleet = await fleetWith(LIMITED_TO_SOUTH);
   await fleet.named('s-1').node.submit(jobOn('pinned', 'job'), always);
-  await whole(fleet, 'n-1', 'job');
+  await untilResultsListed(fleet, 'n-1', 'job');
   fleet.store.calls.clear();
   const { node } = fleet.named('n-1');
   for (const after of [0, 1, 2, 0]) {
@@ -223,7 +229,7 @@
   await fleet.stop();
 });
 
-t.test('without limits the other region takes the jobs of one that is lost', async (t) => {
+t.test('without limits the other region takes over the jobs of a failed region', async (t) => {
   const fleet = await fleetWith({});
   fleet.engine.holds = true;
   await fleet.named('s-1').node.submit(jobOn('free', 'job'), always);
@@ -232,11 +238,11 @@
   fleet.areRegionsApart = true;
   for (const name of SOUTHERN) fleet.store.erase(`fleet/node/${name}`);
   await eventually(() => fleet.runnersOf('job').some((name) => name.startsWith('n')));
-  t.pass('what keeps a limited job back is its limit');
+  t.pass('only its limit keeps a limited job back');
   await fleet.stop();
 });
 
-t.test('without limits jobs are run in the region that they were handed in at', async (t) => {
+t.test('without limits jobs run in the region in which they were submitted', async (t) => {
   const fleet = await fleetWith({});
   fleet.engine.holds = true;
   const jobs = Array.from({ length: 20 }, (_, index) => `job-${index}`);
@@ -256,16 +262,16 @@
 });
 
 t.test(
-  'where zones serve their own callers, a job and its journal lie in its region',
+  'with autonomous zones a job and its journal are stored in the region of the job',
   async (t) => {
     const fleet = await fleetWith(LIMITED_TO_SOUTH, await replicasInAllZones(t));
     await fleet.named('n-1').node.submit(jobOn('pinned', 'first'), always);
-    // A journal takes in what a slow store has not taken yet.
+    // Jobs are written to the journal while the store is slow.
     fleet.commitTime = 300;
     for (const [index, job] of JOBS.entries()) {
       const at = ['n-1', 's-1', 'n-3'][index % 3] ?? 'n-1';
       t.equal(await fleet.named(at).node.submit(jobOn('pinned', job), always), undefined, job);
-      await whole(fleet, at, job);
+      await untilResultsListed(fleet, at, job);
     }
     t.same(fleet.workerRegions(), ['south']);
     const north = fleet.deliveries.filter(({ to }) => to.startsWith('n'));
@@ -277,7 +283,7 @@
       fleet.reachedIn('north').filter((name) => name.startsWith('replica')),
       [],
     );
-    // What the journal has and the store lacks is repeated until the store takes it.
+    // The journal's entries are repeated until the store has them.
     fleet.commitTime = 0;
     const listed = (job: string): boolean =>
       fleet.store.valueOf(`job/head/${job}`)?.includes('"listed":2') === true;
--- a/test/fleet/regional-takeover.test.ts
+++ b/test/fleet/regional-takeover.test.ts
@@ -1,6 +1,6 @@
 /**
- * A node that ran jobs of one region was lost, and whichever node looked first took them over: half of
- * the time one of the other region, 24 ms away from the job's trainer and workers.
+ * Guards against takeovers by a node of another region, far away from the job's trainer and
+ * workers.
  */
 import t from 'tap';
 import { SharedStoreEmulator } from '../../lab/emulator/shared-store-emulator.js';
@@ -21,8 +21,10 @@
   ['south-1', 'south'],
 ]);
 
-/** A node of `north` sees one of `south` go that ran a job; so many others of `south` are live. */
-async function beyondTheLink(othersInSouth: number, takesJobs: boolean) {
+/**
+ * A node of `north` detects the loss of an owner in `south`, where `othersInSouth` nodes are live.
+ */
+async function startInOtherRegion(othersInSouth: number, takesJobs: boolean) {
   const emulator = new SharedStoreEmulator();
   const clock = PROCESS_CLOCK;
   const { log } = recordingLog();
@@ -66,9 +68,9 @@
 }
 
 t.test('a job of another region is left to that region', async (t) => {
-  const { takeover, offered, runsJob, stop } = await beyondTheLink(2, true);
+  const { takeover, offered, runsJob, stop } = await startInOtherRegion(2, true);
   await PROCESS_CLOCK.sleep(1_500);
-  t.same(offered, [], 'its own nodes look for it');
+  t.same(offered, [], 'nodes of its own region scan for it');
   await takeover.sweep();
   t.equal(offered.length, 1, 'a sweep offers it to one of them');
   t.ok(offered[0]?.startsWith('south-'));
@@ -76,8 +78,8 @@
   await stop();
 });
 
-t.test('a job that no node of its region takes is run by the other region', async (t) => {
-  const { takeover, offered, runsJob, stop } = await beyondTheLink(2, false);
+t.test('a job that no node of its region takes over is run by the other region', async (t) => {
+  const { takeover, offered, runsJob, stop } = await startInOtherRegion(2, false);
   await takeover.sweep();
   t.equal(offered.length, 1);
   t.ok(runsJob());
@@ -85,7 +87,7 @@
 });
 
 t.test('a region without live nodes has its jobs taken over at once', async (t) => {
-  const { offered, runsJob, stop } = await beyondTheLink(0, true);
+  const { offered, runsJob, stop } = await startInOtherRegion(0, true);
   await eventually(runsJob);
   t.same(offered, []);
   await stop();
--- a/test/fleet/regions-property.test.ts
+++ b/test/fleet/regions-property.test.ts
@@ -1,7 +1,6 @@
 /**
- * Whatever callers ask for at whichever gateway, and whatever is cut off meanwhile: nothing of a job
- * that is limited to a region reaches a worker outside, or a gateway outside but the one that a caller
- * who asks for it is connected to.
+ * Whatever callers do at any gateway, and whatever fails: no data of a job that is limited to a
+ * region reaches a worker outside it, nor a gateway outside it unless a caller reads the job there.
  */
 import fc from 'fast-check';
 import t from 'tap';
@@ -16,26 +15,25 @@
 };
 const NAMES = Object.keys(LAYOUT);
 
-/** Jobs of either route may lie in the south alone: the second for its tenant. */
+/** Either route limits its jobs to the south; `wide` does so by the tenant's limit. */
 const LIMITS: Limits = {
   routes: { pinned: ['south'], wide: ['north', 'south'] },
   tenants: { owner: ['south'] },
 };
 
-/** Time in which a caller's patience ends. */
-const PATIENCE: Milliseconds = 250;
+/** Time limit of a caller. */
+const CALL_TIMEOUT: Milliseconds = 250;
 
-/** Time for what an event sets off. */
+/** Time for the effects of an event. */
 const PAUSE: Milliseconds = 40;
 
-/** What callers do. */
 const CALLS = ['submit', 'read', 'body', 'end'] as const;
-/** What goes wrong, or right again. */
+/** Failures and recoveries. */
 const CHANGES = ['alone', 'rejoined', 'without-store', 'apart', 'together', 'lapsed'] as const;
 
 interface FleetEvent {
   readonly kind: (typeof CALLS)[number] | (typeof CHANGES)[number];
-  /** The gateway that it concerns. */
+  /** The gateway concerned. */
   readonly at: string;
   readonly job: number;
 }
@@ -49,15 +47,15 @@
   { minLength: 4, maxLength: 14 },
 );
 
-/** Carries events out, and remembers at which gateways callers read. */
+/** Applies events, and records the gateways at which callers read. */
 class Scenario {
   readonly readAt = new Set<string>();
 
   constructor(private readonly fleet: RegionalGateways) {}
 
-  async bringAbout({ kind, at, job }: FleetEvent): Promise<void> {
+  async applyEvent({ kind, at, job }: FleetEvent): Promise<void> {
     this.change(kind, at);
-    await Promise.race([this.call(kind, at, job), PROCESS_CLOCK.sleep(PATIENCE)]);
+    await Promise.race([this.call(kind, at, job), PROCESS_CLOCK.sleep(CALL_TIMEOUT)]);
     await PROCESS_CLOCK.sleep(PAUSE);
   }
 
@@ -73,11 +71,11 @@
   private async call(kind: FleetEvent['kind'], at: string, job: number): Promise<void> {
     const { jobs } = this.fleet.named(at).node;
     const id = `job-${job}`;
-    const until = PROCESS_CLOCK.now() + PATIENCE;
-    const wanted = (): boolean => PROCESS_CLOCK.now() < until;
+    const until = PROCESS_CLOCK.now() + CALL_TIMEOUT;
+    const isStillNeeded = (): boolean => PROCESS_CLOCK.now() < until;
     const spec = job === 0 ? jobOn('wide', id, 'owner') : jobOn('pinned', id);
-    if (kind === 'submit') await jobs.submit(spec, wanted);
-    if (kind === 'end') await jobs.cancel(id, UNRESTRICTED, wanted);
+    if (kind === 'submit') await jobs.submit(spec, isStillNeeded);
+    if (kind === 'end') await jobs.cancel(id, UNRESTRICTED, isStillNeeded);
     if (kind !== 'read' && kind !== 'body') return;
     this.readAt.add(at);
     if (kind === 'read') await jobs.read(id, 0, 0, UNRESTRICTED);
@@ -85,26 +83,26 @@
   }
 }
 
-t.test('nothing of a limited job gets outside but to who reads it there', async (t) => {
+t.test('a limited job leaves its regions only to gateways at which callers read it', async (t) => {
   let bodies = 0;
-  const drawn = fc.asyncProperty(EVENTS, async (events) => {
+  const property = fc.asyncProperty(EVENTS, async (events) => {
     const fleet = new RegionalGateways();
     await fleet.start(LAYOUT, LIMITS);
     const scenario = new Scenario(fleet);
     const first = { kind: 'submit', at: 'n-1', job: 1 } as const;
-    for (const event of [first, ...events]) await scenario.bringAbout(event);
+    for (const event of [first, ...events]) await scenario.applyEvent(event);
     const outside = fleet.deliveries.filter(({ to }) => to.startsWith('n'));
-    const strays = outside.filter(({ to }) => !scenario.readAt.has(to));
+    const leaks = outside.filter(({ to }) => !scenario.readAt.has(to));
     const submitted = outside.filter(({ by }) => by === 'submit-for' || by === 'surrender-job');
     const runners = [0, 1, 2].flatMap((job) => fleet.runnersOf(`job-${job}`));
     bodies += fleet.deliveries.length;
     await fleet.stop();
     return (
-      strays.length + submitted.length === 0 &&
+      leaks.length + submitted.length === 0 &&
       runners.every((name) => name.startsWith('s')) &&
       fleet.workerRegions().every((region) => region === 'south')
     );
   });
-  await fc.assert(drawn, { numRuns: 25, endOnFailure: true });
+  await fc.assert(property, { numRuns: 25, endOnFailure: true });
   t.ok(bodies > 0, 'bodies and results passed between gateways');
 });
--- a/test/fleet/submission-router.test.ts
+++ b/test/fleet/submission-router.test.ts
@@ -1,6 +1,5 @@
 /**
- * A job that was handed in during an outage of the store was offered to two owners in turn, and each
- * had the whole time for itself: 12.4 s until its caller was refused, who had given up by then.
+ * Guards against offers during an outage of the store that together exceed the caller's timeout.
  */
 import t from 'tap';
 import type { FleetRegistry } from '../../src/fleet/fleet-registry.js';
@@ -12,20 +11,20 @@
 
 type Offer = PeerRequestOf<'submit-for'>;
 
-interface Routed {
+interface RouterFixture {
   readonly router: SubmissionRouter;
   readonly clock: ManualClock;
   readonly asked: readonly string[];
 }
 
-/** A node that is to offer a job to two others, which answer as `use` says. */
-function routed(use: (offer: Offer, clock: ManualClock) => unknown): Routed {
+/** A node that offers a job to two others, which answer as `use` returns. */
+function routerWith(answerOffer: (offer: Offer, clock: ManualClock) => unknown): RouterFixture {
   const clock = new ManualClock();
   const asked: string[] = [];
   const calls = {
     request: async (node: string, request: Offer) => {
       asked.push(node);
-      return use(request, clock);
+      return answerOffer(request, clock);
     },
   } as unknown as PeerRequester;
   const placement = {
@@ -33,7 +32,7 @@
     noteUnresponsive: () => {},
   } as unknown as JobPlacement;
   const fleet = { isStoreUnreachable: false } as unknown as FleetRegistry;
-  // Nothing is looked at in between.
+  // The liveness checks during an offer never become due.
   clock.sleep = () => new Promise<void>(() => {});
   return {
     router: new SubmissionRouter({
@@ -45,37 +44,37 @@
   };
 }
 
-const refused = { kind: 'answered', answer: { failure: { kind: 'ledger_unavailable' } } };
+const rejection = { kind: 'answered', answer: { failure: { kind: 'ledger_unavailable' } } };
 
-t.test('two owners that both wait for the store have one time together', async (t) => {
-  const { router, clock, asked } = routed((offer, time) => {
+t.test('two owners that both wait for the store share one time limit', async (t) => {
+  const { router, clock, asked } = routerWith((offer, time) => {
     time.time += offer.limit;
-    return refused;
+    return rejection;
   });
   const startedAt = clock.now();
   const path = await router.route(specification('job', 1));
   t.ok(
     clock.now() - startedAt <= SUBMISSION_TIMEOUT,
-    `refused after ${clock.now() - startedAt} ms`,
+    `rejected after ${clock.now() - startedAt} ms`,
   );
   t.match(path, { kind: 'answered', failure: { kind: 'ledger_unavailable' } });
-  t.same(asked, ['node-2'], 'nobody is asked for whom no time is left');
+  t.same(asked, ['node-2'], 'no node is asked once the time is used up');
 });
 
-t.test('the second owner gets what the first has left', async (t) => {
+t.test('the second owner gets the time that the first has left', async (t) => {
   const limits: number[] = [];
-  const { router, asked } = routed((offer, time) => {
+  const { router, asked } = routerWith((offer, time) => {
     limits.push(offer.limit);
     time.time += 1_500;
-    return limits.length === 1 ? refused : { kind: 'answered', answer: { failure: undefined } };
+    return limits.length === 1 ? rejection : { kind: 'answered', answer: { failure: undefined } };
   });
   t.same(await router.route(specification('job', 1)), { kind: 'answered', failure: undefined });
   t.same(asked, ['node-2', 'node-3']);
   t.same(limits, [SUBMISSION_TIMEOUT, SUBMISSION_TIMEOUT - 1_500]);
 });
 
-t.test('owners that refuse at once leave the job to the node that was called', async (t) => {
-  const { router } = routed(() => refused);
+t.test('owners that reject at once leave the job to the node that received it', async (t) => {
+  const { router } = routerWith(() => rejection);
   const path = await router.route(specification('job', 1));
   t.same(path, { kind: 'here', mayRunElsewhere: false });
 });
--- a/test/fleet/weight-rollout.test.ts
+++ b/test/fleet/weight-rollout.test.ts
@@ -35,7 +35,7 @@
   t.equal(due(holders(4, 4, 4, 4), { required: 4 }).length, 2);
 });
 
-t.test('after a while all workers change', async (t) => {
+t.test('all workers change after a delay', async (t) => {
   t.same(due(holders(5, 5, 4, 4), {}, false), ['w2', 'w3']);
 });
 
@@ -51,7 +51,7 @@
 });
 
 t.test('a model without usable workers goes before one that has some', async (t) => {
-  // Both models are on all four workers; the first is three versions behind on two of them.
+  // All four workers hold both models; two of them lag three versions behind for the first.
   const models = (a: number, b: number) => [
     { name: 'model-a', version: a },
     { name: 'model-b', version: b },
@@ -84,14 +84,14 @@
   t.equal(maxConcurrentLoads(32), 9);
 });
 
-t.test('looks that take long are made less often, short ones at each tick', async (t) => {
+t.test('long scans run less often, short ones at each tick', async (t) => {
   const clock = new ManualClock();
-  let lookTime = 0;
-  let looks = 0;
+  let scanTime = 0;
+  let scans = 0;
   class SlowRegistry extends WorkerRegistry {
     override all(): KnownWorker[] {
-      looks += 1;
-      clock.time += lookTime;
+      scans += 1;
+      clock.time += scanTime;
       return super.all();
     }
   }
@@ -113,23 +113,23 @@
     log: recordingLog().log,
     metrics: new FleetMetrics(),
   });
-  const looksIn = (ticks: number): number => {
-    const before = looks;
+  const scansIn = (ticks: number): number => {
+    const before = scans;
     for (let tick = 0; tick < ticks; tick += 1) {
       rollout.tick();
       clock.time += 50;
     }
-    return looks - before;
+    return scans - before;
   };
-  const short = looksIn(10);
-  lookTime = 10;
-  const long = looksIn(100);
+  const short = scansIn(10);
+  scanTime = 10;
+  const long = scansIn(100);
   t.ok(short >= 10, `${short} reads of the registry in ten ticks`);
   t.ok(long < 3 * short, `${long} reads in a hundred ticks where each takes 10 ms`);
 });
 
-/** Time passes as it is waited for, so that looks for the end of an order come to an end. */
-class PassingClock extends ManualClock {
+/** Advances its time on `sleep`, so that polls for the end of an order terminate. */
+class AdvancingClock extends ManualClock {
   override sleep(duration = 0): Promise<void> {
     this.time += duration;
     return super.sleep();
@@ -142,10 +142,10 @@
   engine: ScriptedEngine,
   clock: ManualClock,
   changes: WeightChange[] = [],
-  isAway: (worker: KnownWorker) => boolean = () => false,
+  isEvacuated: (worker: KnownWorker) => boolean = () => false,
 ) {
   return new WeightRollout({
-    isEvacuated: isAway,
+    isEvacuated,
     registry,
     engine,
     clock,
@@ -167,24 +167,24 @@
 
 const REPORT = { models: [], busy: false, sequence: 0, waiting: 0, running: 0 };
 
-t.test('workers of services that nobody configured get no orders', async (t) => {
+t.test('workers of services that are not configured get no orders', async (t) => {
   const registry = new WorkerRegistry();
   registry.put(worker('foreign', { service: 'unheard-of' }));
   const engine = new ScriptedEngine();
   engine.reports = [REPORT, REPORT];
-  rolloutOver(registry, engine, new PassingClock()).tick();
+  rolloutOver(registry, engine, new AdvancingClock()).tick();
   await new Promise((resolve) => setImmediate(resolve));
   t.same(engine.orders, []);
 });
 
 t.test(
-  'a new life of a worker is ordered though the order to the one before is open',
+  'a new incarnation of a worker gets an order while one to the previous is open',
   async (t) => {
     const registry = new WorkerRegistry();
     registry.put(worker('w1', { startedAt: 1_000 }));
     const engine = new ScriptedEngine();
     engine.reports = [{ ...REPORT, startedAt: 1_000 }];
-    const rollout = rolloutOver(registry, engine, new PassingClock());
+    const rollout = rolloutOver(registry, engine, new AdvancingClock());
     rollout.tick();
     await new Promise((resolve) => setImmediate(resolve));
     t.equal(engine.orders.length, 1);
@@ -199,27 +199,24 @@
   },
 );
 
-t.test('a report of another life than the record tells of brings no order', async (t) => {
+t.test('a report of an incarnation other than the recorded one causes no order', async (t) => {
   const registry = new WorkerRegistry();
   registry.put(worker('w1', { startedAt: 1_000 }));
   const engine = new ScriptedEngine();
   engine.reports = [{ ...REPORT, startedAt: 2_000 }];
-  rolloutOver(registry, engine, new PassingClock()).tick();
+  rolloutOver(registry, engine, new AdvancingClock()).tick();
   await new Promise((resolve) => setImmediate(resolve));
   t.same(engine.orders, []);
 });
 
-/**
- * Of 100 arrivals at model workers 18 to 24 were refused; on one day 1,331 runs beside 188 loads. That
- * loads are the reason is suspected, as a loading worker refuses and looks empty.
- */
-t.test('nodes that run jobs know which workers load, and when they are done', async (t) => {
+/** Guards against items sent to loading workers, which look idle and reject them. */
+t.test('nodes that run jobs know which workers are loading, and when they are done', async (t) => {
   const registry = new WorkerRegistry();
   registry.put(worker('w1', { startedAt: 1_000 }));
   const engine = new ScriptedEngine();
   engine.reports = [REPORT, { ...REPORT, models: [{ name: 'model-a', version: 5 }] }];
   const changes: WeightChange[] = [];
-  rolloutOver(registry, engine, new PassingClock(), changes).tick();
+  rolloutOver(registry, engine, new AdvancingClock(), changes).tick();
   for (let turn = 0; turn < 10; turn += 1) await new Promise((resolve) => setImmediate(resolve));
   t.same(
     changes.map(({ state, version }) => [state, version]),
@@ -228,7 +225,7 @@
       ['loaded', 5],
     ],
   );
-  // As another node takes it in, which knows the worker by its record alone.
+  // Another node knows the worker only by its record.
   const other = new WorkerRegistry();
   other.put(worker('w1', { startedAt: 1_000 }));
   const known = other.get('w1');
@@ -236,26 +233,26 @@
   const may = (model: string, now: number) =>
     known !== undefined && mayRun(known, { ...needs, model }, now);
   const [loading, loaded] = changes;
-  if (loading === undefined || loaded === undefined) return t.fail('nothing was told');
+  if (loading === undefined || loaded === undefined) return t.fail('no change was reported');
   applyWeightChange(other, loading, 1_000);
   t.notOk(may('model-a', 1_500));
-  t.ok(may('model-a', 3_000), 'an end that is not told is not waited for');
+  t.ok(may('model-a', 3_000), 'an end that is not reported is not waited for');
   applyWeightChange(other, loading, 4_000);
   applyWeightChange(other, loaded, 4_100);
   t.ok(may('model-a', 4_200));
   t.equal(known?.versionOf('model-a'), 5);
   other.put(worker('w1', { startedAt: 2_000 }));
   applyWeightChange(other, loading, 5_000);
-  t.notOk(other.get('w1')?.isLoading('model-a', 5_100), 'that was another life');
+  t.notOk(other.get('w1')?.isLoading('model-a', 5_100), 'that was another incarnation');
 });
 
-/** Ten workers of two zones, all one version behind; the second zone is away. */
-function halfAway(): {
+/** Ten workers in two zones, all two versions behind; the second zone is evacuated. */
+function halfEvacuated(): {
   readonly engine: ScriptedEngine;
   readonly clock: ManualClock;
   readonly rollout: WeightRollout;
   readonly ordered: () => string[];
-  readonly pass: (duration: number) => Promise<void>;
+  readonly advance: (duration: number) => Promise<void>;
 } {
   const registry = new WorkerRegistry();
   for (let index = 0; index < 10; index += 1) {
@@ -265,26 +262,26 @@
   const engine = new ScriptedEngine();
   engine.reports = Array(500).fill({ ...REPORT, models: [{ name: 'model-a', version: 3 }] });
   const clock = new ManualClock();
-  const isAway = ({ record }: KnownWorker): boolean => record.zone === 'zone-2';
-  const rollout = rolloutOver(registry, engine, clock, [], isAway);
+  const isEvacuated = ({ record }: KnownWorker): boolean => record.zone === 'zone-2';
+  const rollout = rolloutOver(registry, engine, clock, [], isEvacuated);
   const ordered = (): string[] => engine.orders.map((order) => order.worker.id);
-  const pass = async (duration: number): Promise<void> => {
+  const advance = async (duration: number): Promise<void> => {
     const end = clock.time + duration;
     while (clock.time < end) {
       clock.time += 50;
       rollout.tick();
-      for (const { worker: told } of engine.orders)
-        registry.get(told.id)?.noteVersion('model-a', 5);
-      for (let turn = 0; turn < 5; turn += 1) await new Promise((go) => setImmediate(go));
+      for (const { worker: ordered } of engine.orders)
+        registry.get(ordered.id)?.noteVersion('model-a', 5);
+      for (let turn = 0; turn < 5; turn += 1) await new Promise((resolve) => setImmediate(resolve));
     }
   };
-  return { engine, clock, rollout, ordered, pass };
+  return { engine, clock, rollout, ordered, advance };
 }
 
 t.test('workers of an evacuated zone load after all others, and not at once', async (t) => {
-  const run = halfAway();
-  await run.pass(3_000);
+  const run = halfEvacuated();
+  await run.advance(3_000);
   t.same(run.ordered().sort(), ['w0', 'w1', 'w2', 'w3', 'w4'], 'though all lag two versions');
-  await run.pass(8_000);
+  await run.advance(8_000);
   t.same(run.ordered().slice(5).sort(), ['w5', 'w6', 'w7', 'w8', 'w9']);
 });
--- a/test/fleet/worker-roster.test.ts
+++ b/test/fleet/worker-roster.test.ts
@@ -12,17 +12,17 @@
   readonly lines: readonly string[];
 }
 
-function fixture(wasSilent = false): Fixture {
+function fixture(wasStoreUnreachable = false): Fixture {
   const registry = new WorkerRegistry();
   const engine = new ScriptedEngine();
   const { log, lines } = recordingLog();
-  const fleet = { wasStoreUnreachableWithin: () => wasSilent };
+  const fleet = { wasStoreUnreachableWithin: () => wasStoreUnreachable };
   const metrics = new FleetMetrics();
   const roster = new WorkerRoster({ registry, engine, fleet, log, metrics });
   return { roster, registry, engine, lines };
 }
 
-t.test('a worker whose record goes gets no new work, and finishes what it runs', async (t) => {
+t.test('a worker whose record is removed gets no new work and finishes its requests', async (t) => {
   mock.timers.enable({ apis: ['setTimeout'] });
   t.teardown(() => mock.timers.reset());
   const { roster, registry, engine } = fixture();
@@ -36,7 +36,7 @@
 });
 
 t.test(
-  'workers that become known together have one line, and those that leave their own',
+  'workers that become known together share a log line, draining ones have their own',
   async (t) => {
     const { roster, registry, lines } = fixture();
     for (let index = 0; index < 3_000; index += 1) {
@@ -44,19 +44,19 @@
     }
     await new Promise((resolve) => setImmediate(resolve));
     t.equal(registry.all().length, 3_000);
-    const told = lines.map((line) => JSON.parse(line));
-    t.match(told, [
+    const logged = lines.map((line) => JSON.parse(line));
+    t.match(logged, [
       { msg: 'workers-known', workers: 3_000, draining: 1 },
       { msg: 'worker-known', worker: 'w7', draining: true },
     ]);
-    t.equal(told.length, 2);
+    t.equal(logged.length, 2);
     roster.put(worker('w7'));
     await new Promise((resolve) => setImmediate(resolve));
     t.match(JSON.parse(lines.at(-1) ?? ''), { msg: 'worker-known', worker: 'w7', draining: false });
   },
 );
 
-t.test('a worker that registers again is not forgotten', async (t) => {
+t.test('a worker that registers again stays registered', async (t) => {
   mock.timers.enable({ apis: ['setTimeout'] });
   t.teardown(() => mock.timers.reset());
   const { roster, registry, engine } = fixture();
@@ -69,22 +69,19 @@
   t.equal(registry.available('service').length, 1);
 });
 
-t.test(
-  'a record that lapses with the store is kept until a live worker would be back',
-  async (t) => {
-    mock.timers.enable({ apis: ['setTimeout'] });
-    t.teardown(() => mock.timers.reset());
-    const { roster, registry } = fixture(true);
-    roster.put(worker('w1'));
-    roster.handleRemoval('w1');
-    mock.timers.tick(1_000);
-    t.equal(registry.available('service').length, 1);
-    mock.timers.tick(1_000);
-    t.same(registry.available('service'), []);
-  },
-);
+t.test('a record that expires in an outage stays until a live worker would be back', async (t) => {
+  mock.timers.enable({ apis: ['setTimeout'] });
+  t.teardown(() => mock.timers.reset());
+  const { roster, registry } = fixture(true);
+  roster.put(worker('w1'));
+  roster.handleRemoval('w1');
+  mock.timers.tick(1_000);
+  t.equal(registry.available('service').length, 1);
+  mock.timers.tick(1_000);
+  t.same(registry.available('service'), []);
+});
 
-t.test('a worker that starts again under its id gets connections of its own', async (t) => {
+t.test('a restarted worker gets new connections', async (t) => {
   const { roster, registry, engine, lines } = fixture();
   roster.put(worker('w1', { startedAt: 1_000 }));
   const before = registry.get('w1');
@@ -96,11 +93,11 @@
   t.equal(
     registry.available('service').length,
     1,
-    'a late record of the earlier life is passed over',
+    'a late record of the previous incarnation is ignored',
   );
 });
 
-t.test('an entry that cannot be read names no worker to use, and the others hold', async (t) => {
+t.test('an unreadable record removes its worker and no other', async (t) => {
   const { roster, registry } = fixture();
   roster.put(worker('w1'));
   roster.put(worker('w2'));
