--- a/test/fleet/worker-roster.test.ts
+++ b/test/fleet/worker-roster.test.ts
@@ -12,22 +12,22 @@
   readonly lines: readonly string[];
 }
 
-function fixture(wasSilent = false): Fixture {
+function fixture(wasStoreUnreachable = false): Fixture {
   const registry = new WorkerRegistry();
   const engine = new ScriptedEngine();
   const { log, lines } = recordingLog();
-  const fleet = { wasStoreUnreachableWithin: () => wasSilent };
+  const fleet = { wasStoreUnreachableWithin: () => wasStoreUnreachable };
   const metrics = new FleetMetrics();
   const roster = new WorkerRoster({ registry, engine, fleet, log, metrics });
   return { roster, registry, engine, lines };
 }
 
-t.test('a worker whose record goes gets no new work, and finishes what it runs', async (t) => {
+t.test('a worker whose record is removed gets no new work and finishes its requests', async (t) => {
   mock.timers.enable({ apis: ['setTimeout'] });
   t.teardown(() => mock.timers.reset());
   const { roster, registry, engine } = fixture();
   roster.put(worker('w1'));
-  roster.noteGone('w1');
+  roster.handleRemoval('w1');
   t.same(registry.available('service'), []);
   t.same(engine.forgotten, [], 'its connections stay open');
   mock.timers.tick(13_000);
@@ -36,7 +36,7 @@
 });
 
 t.test(
-  'workers that become known together have one line, and those that leave their own',
+  'workers that become known together share a log line, draining ones have their own',
   async (t) => {
     const { roster, registry, lines } = fixture();
     for (let index = 0; index < 3_000; index += 1) {
@@ -44,24 +44,24 @@
     }
     await new Promise((resolve) => setImmediate(resolve));
     t.equal(registry.all().length, 3_000);
-    const told = lines.map((line) => JSON.parse(line));
-    t.match(told, [
+    const logged = lines.map((line) => JSON.parse(line));
+    t.match(logged, [
       { msg: 'workers-known', workers: 3_000, draining: 1 },
       { msg: 'worker-known', worker: 'w7', draining: true },
     ]);
-    t.equal(told.length, 2);
+    t.equal(logged.length, 2);
     roster.put(worker('w7'));
     await new Promise((resolve) => setImmediate(resolve));
     t.match(JSON.parse(lines.at(-1) ?? ''), { msg: 'worker-known', worker: 'w7', draining: false });
   },
 );
 
-t.test('a worker that registers again is not forgotten', async (t) => {
+t.test('a worker that registers again stays registered', async (t) => {
   mock.timers.enable({ apis: ['setTimeout'] });
   t.teardown(() => mock.timers.reset());
   const { roster, registry, engine } = fixture();
   roster.put(worker('w1'));
-  roster.noteGone('w1');
+  roster.handleRemoval('w1');
   roster.put(worker('w1'));
   t.equal(registry.available('service').length, 1);
   mock.timers.tick(13_000);
@@ -69,22 +69,19 @@
   t.equal(registry.available('service').length, 1);
 });
 
-t.test(
-  'a record that lapses with the store is kept until a live worker would be back',
-  async (t) => {
-    mock.timers.enable({ apis: ['setTimeout'] });
-    t.teardown(() => mock.timers.reset());
-    const { roster, registry } = fixture(true);
-    roster.put(worker('w1'));
-    roster.noteGone('w1');
-    mock.timers.tick(1_000);
-    t.equal(registry.available('service').length, 1);
-    mock.timers.tick(1_000);
-    t.same(registry.available('service'), []);
-  },
-);
+t.test('a record that expires in an outage stays until a live worker would be back', async (t) => {
+  mock.timers.enable({ apis: ['setTimeout'] });
+  t.teardown(() => mock.timers.reset());
+  const { roster, registry } = fixture(true);
+  roster.put(worker('w1'));
+  roster.handleRemoval('w1');
+  mock.timers.tick(1_000);
+  t.equal(registry.available('service').length, 1);
+  mock.timers.tick(1_000);
+  t.same(registry.available('service'), []);
+});
 
-t.test('a worker that starts again under its id gets connections of its own', async (t) => {
+t.test('a restarted worker gets new connections', async (t) => {
   const { roster, registry, engine, lines } = fixture();
   roster.put(worker('w1', { startedAt: 1_000 }));
   const before = registry.get('w1');
@@ -96,16 +93,16 @@
   t.equal(
     registry.available('service').length,
     1,
-    'a late record of the earlier life is passed over',
+    'a late record of the previous incarnation is ignored',
   );
 });
 
-t.test('an entry that cannot be read names no worker to use, and the others hold', async (t) => {
+t.test('an unreadable record removes its worker and no other', async (t) => {
   const { roster, registry } = fixture();
   roster.put(worker('w1'));
   roster.put(worker('w2'));
-  roster.noteUnreadable('w1');
-  roster.noteUnreadable('never-known');
+  roster.handleUnreadable('w1');
+  roster.handleUnreadable('never-known');
   t.same(
     registry.available('service').map(({ record }) => record.id),
     ['w2'],
