--- a/src/journal/job-journal.ts
+++ b/src/journal/job-journal.ts
@@ -1,8 +1,7 @@
 /**
- * The journal of one job, as the node that runs the job writes it. An entry is kept once all
- * replicas of the job have it on their disks; any one of them that answers another owner keeps this
- * one from writing. So no two owners can both believe that the journal is theirs, and what was kept
- * is found on any replica whose disk is still there.
+ * Writes the journal of one job from the node that owns the job. An entry is durable once every
+ * replica has synced it, so any surviving disk holds it; one replica that has granted a later owner
+ * is enough to reject the earlier one.
  */
 import type { Milliseconds } from '../core/units.js';
 import type { PeerOutcome, PeerPort } from '../peers/peer-messages.js';
@@ -17,13 +16,10 @@
 } from './journal-entries.js';
 import type { ReplicaLocation } from './replica-location.js';
 
-/**
- * Time for an answer: replicas are in the zone of the owner (0.2 ms away) and sync a disk (some ms);
- * one that is slowed ten times still answers.
- */
-const ANSWER_LIMIT: Milliseconds = 300;
+/** Covers a round trip within the zone and a disk sync that is ten times slower than usual. */
+const REPLICA_ANSWER_TIMEOUT: Milliseconds = 300;
 
-/** Replicas of one job, and who writes to them. */
+/** Replicas of one job, and the owner that writes to them. */
 export interface JournalOptions {
   readonly port: PeerPort;
   readonly metrics: FleetMetrics;
@@ -32,60 +28,58 @@
 }
 
 /**
- * What became of an entry. `kept`: all replicas have it; `lost`: another owner writes the job now;
- * `unsure`: some replica did not answer or could not write, and may do so when asked again.
+ * Outcome of an append. `kept`: all replicas have stored the entries; `lost`: another owner writes
+ * the job now; `unsure`: a replica did not answer or could not write, and a retry may succeed.
  */
 export type AppendOutcome = 'kept' | 'lost' | 'unsure';
 
-/** What a claim came to. */
+/** Outcome of a claim. */
 export type ClaimOutcome =
-  /** No earlier owner can write any more; what the journal held for it. */
+  /** Earlier owners can no longer write; carries the entries that the replicas hold. */
   | { readonly kind: 'claimed'; readonly entries: readonly JournalEntry[] }
-  /** An owner of the same or a later term writes the job. */
+  /** Another owner, of the same or a later term, writes the job. */
   | { readonly kind: 'held-elsewhere'; readonly holder: JournalHolder }
-  /** No replica whose disk is still there answers. */
+  /** No replica that still has its disk answered. */
   | { readonly kind: 'silent' }
-  /** All replicas answer, and none has the disk that was written to. */
+  /** All replicas answered, and each of them has a new, empty disk. */
   | { readonly kind: 'disks-gone' };
 
-/** Writes the entries of one job. */
+/** Journal of one job, bound to one owner and term. */
 export class JobJournal {
-  private isLost = false;
-  private takesEntries = true;
+  private isSuperseded = false;
+  private acceptsAppends = true;
 
   constructor(private readonly options: JournalOptions) {}
 
-  /** The replicas of the job, for its head. */
+  /** The replicas, as recorded in the head of the job. */
   get replicas(): readonly ReplicaLocation[] {
     return this.options.replicas;
   }
 
-  /** The job whose journal it is. */
   get job(): string {
     return this.options.holder.job;
   }
 
-  /** The term of the owner. */
   get term(): number {
     return this.options.holder.term;
   }
 
-  /** Makes this owner the only one that can write; one replica is enough for that. */
+  /** Makes this owner the only one that can write; the grant of one replica is enough. */
   async claim(): Promise<ClaimOutcome> {
     const { holder } = this.options;
-    const answers = await this.askAll((disk) => ({ kind: 'journal-claim', disk, holder }));
+    const answers = await this.requestFromAll((disk) => ({ kind: 'journal-claim', disk, holder }));
     const entries = new Map<string, JournalEntry>();
     let granted = 0;
     let otherDisks = 0;
     for (const answer of answers) {
       if (answer?.kind === 'refused') {
-        this.isLost = true;
+        this.isSuperseded = true;
         return { kind: 'held-elsewhere', holder: answer.holder };
       }
       if (answer?.kind === 'other-disk') otherDisks += 1;
       if (answer?.kind !== 'granted') continue;
       granted += 1;
-      // What a newer build has left stays at the replicas.
+      // Entries of newer builds are ignored and stay on the replicas.
       const known = answer.entries.filter(isKnownEntry);
       for (const entry of known) entries.set(keyOfEntry(entry), entry);
     }
@@ -93,50 +87,52 @@
     return { kind: otherDisks === answers.length ? 'disks-gone' : 'silent' };
   }
 
-  /** Its replicas stand where nothing more of the job may be kept: only the store takes changes. */
+  /** Stops appends, because the replicas are located where the job's data may not be stored. */
   disableAppends(): void {
-    this.takesEntries = false;
+    this.acceptsAppends = false;
   }
 
-  /** Has all replicas keep entries; without any: whether this owner could still write. */
+  /** Stores entries on all replicas; without entries, checks that this owner can still write. */
   async append(entries: readonly JournalEntry[]): Promise<AppendOutcome> {
     const { holder } = this.options;
-    if (this.isLost) return 'lost';
-    if (entries.length > 0 && !this.takesEntries) return 'unsure';
-    const answers = await this.askAll((disk) => ({
+    if (this.isSuperseded) return 'lost';
+    if (entries.length > 0 && !this.acceptsAppends) return 'unsure';
+    const answers = await this.requestFromAll((disk) => ({
       kind: 'journal-append',
       disk,
       holder,
       entries,
     }));
     if (answers.some((answer) => answer?.kind === 'refused')) {
-      this.isLost = true;
+      this.isSuperseded = true;
       return 'lost';
     }
     return answers.every((answer) => answer?.kind === 'granted') ? 'kept' : 'unsure';
   }
 
-  /** The shared store has some entries: the replicas need not hold them any longer. */
+  /** Removes entries from the replicas that are now in the shared store. */
   async release(entries: readonly JournalEntry[]): Promise<void> {
     const { holder } = this.options;
     const keys = entries.map(keyOfEntry);
-    if (keys.length === 0 || this.isLost) return;
-    await this.askAll((disk) => ({ kind: 'journal-release', disk, holder, keys }));
+    if (keys.length === 0 || this.isSuperseded) return;
+    await this.requestFromAll((disk) => ({ kind: 'journal-release', disk, holder, keys }));
   }
 
-  private askAll(
-    question: (disk: string) => Extract<JournalRequest, { holder: JournalHolder }>,
+  private requestFromAll(
+    requestFor: (disk: string) => Extract<JournalRequest, { holder: JournalHolder }>,
   ): Promise<(ReplicaAnswer | undefined)[]> {
     const { port, metrics, replicas } = this.options;
     return Promise.all(
       replicas.map(async ({ address, disk }) => {
-        const request = question(disk);
-        const outcome = (await port.request(address, request, ANSWER_LIMIT)) as PeerOutcome<
-          'journal-claim' | 'journal-append' | 'journal-release'
-        >;
+        const request = requestFor(disk);
+        const outcome = (await port.request(
+          address,
+          request,
+          REPLICA_ANSWER_TIMEOUT,
+        )) as PeerOutcome<'journal-claim' | 'journal-append' | 'journal-release'>;
         const answer = outcome.kind === 'answered' ? outcome.answer : undefined;
-        const told = answer?.kind ?? outcome.kind;
-        metrics.count('journal_calls', { call: request.kind, outcome: told });
+        const outcomeLabel = answer?.kind ?? outcome.kind;
+        metrics.count('journal_calls', { call: request.kind, outcome: outcomeLabel });
         return answer;
       }),
     );
--- a/src/journal/journal-entries.ts
+++ b/src/journal/journal-entries.ts
@@ -1,6 +1,6 @@
 /**
- * What a zone's journal holds of jobs: that a job was taken in, pages of its results, and its end,
- * each from the moment on at which the shared store did not take it until it has.
+ * Entries of a zone's journal, and the requests to its replicas. The journal holds what the shared
+ * store could not accept yet: that a job was created, pages of its results, and that it ended.
  */
 import * as z from 'zod';
 import { openRecord } from '../core/open-record.js';
@@ -8,15 +8,14 @@
 import { type DiskId, REPLICA_LOCATION } from './replica-location.js';
 
 const KNOWN_ENTRY = z.discriminatedUnion('kind', [
-  /** All of the job is kept from now on. */
+  /** The job was accepted. */
   openRecord({
     kind: z.literal('created'),
     spec: SPECIFICATION,
     replicas: z.array(REPLICA_LOCATION),
   }),
-  /** Results at successive positions, as the page of this number in the shared store will be. */
+  /** Results at successive positions; becomes the page with this number in the shared store. */
   openRecord({ kind: z.literal('page'), number: z.number(), results: z.array(RESULT) }),
-  /** The job has ended. */
   openRecord({ kind: z.literal('ended') }),
 ]);
 
@@ -30,78 +29,77 @@
 ]);
 
 /**
- * An entry of a kind that only a newer build knows. A replica keeps it; an owner passes over it. It
- * tells itself under which key it is kept.
+ * An entry whose kind only a newer build knows. Replicas store it and owners ignore it. It carries
+ * its own key, because this build can't derive one.
  */
 const UNKNOWN_ENTRY = openRecord({ kind: z.string(), key: z.string() }).refine(
   ({ kind }) => !KNOWN_KINDS.has(kind),
 );
 
-/** An entry as replicas keep it. The type names the kinds that an owner may act on. */
+/** An entry as replicas store it; the static type covers only the kinds that this build knows. */
 export const JOURNAL_ENTRY = z.union([KNOWN_ENTRY, UNKNOWN_ENTRY]) as unknown as typeof KNOWN_ENTRY;
 
-/** Who writes a job's entries: one owner in each term, and each owner's term is higher. */
+/** The owner that writes a job's entries. Each term has one owner, and terms only rise. */
 export const JOURNAL_HOLDER = openRecord({
   job: z.string(),
   term: z.number(),
-  /** The life of the node that writes. */
+  /** Incarnation of the node that writes. */
   writer: z.string(),
 });
 
-/** Who writes a job's entries. */
 export type JournalHolder = z.infer<typeof JOURNAL_HOLDER>;
 
-/** What tells the entries of one job apart; an entry under a key that exists takes its place. */
+/** Key of an entry within its job; an entry replaces the one stored under the same key. */
 export function keyOfEntry(entry: JournalEntry): string {
   const { kind, key }: { readonly kind: string; readonly key?: string } = entry;
   if (entry.kind === 'page') return `page/${entry.number}`;
   return isKnownEntry(entry) ? kind : (key ?? kind);
 }
 
-/** Whether an entry is of a kind that this build knows. */
+/** Whether this build knows the kind of an entry. */
 export function isKnownEntry(entry: JournalEntry): boolean {
   return KNOWN_KINDS.has(entry.kind);
 }
 
-/** A replica's answer to a holder. */
+/** Answer of a replica to a claim, append or release. */
 export type ReplicaAnswer =
-  /** It is on the disk, and no other holder can write from now on but under a higher term. */
+  /** The change is synced; from now on only a holder with a higher term can replace this one. */
   | { readonly kind: 'granted'; readonly entries: readonly JournalEntry[] }
   /** Another holder writes the job. */
   | { readonly kind: 'refused'; readonly holder: JournalHolder }
-  /** The disk that was meant is gone. */
+  /** The replica no longer has the disk that the request names. */
   | { readonly kind: 'other-disk' }
-  /** The disk takes nothing. */
+  /** The disk rejected the write. */
   | { readonly kind: 'unwritable' };
 
-/** A question to a replica. */
+/** A request to a replica. */
 export type JournalRequest =
-  /** I write this job's entries from now on: what do you hold of it? */
+  /** Makes the sender the holder of the job; answered with the job's entries. */
   | {
       readonly kind: 'journal-claim';
       readonly disk: DiskId;
       readonly holder: JournalHolder;
     }
-  /** Keep these entries; without any: am I still the holder? */
+  /** Stores entries; without entries, checks that the sender is still the holder. */
   | {
       readonly kind: 'journal-append';
       readonly disk: DiskId;
       readonly holder: JournalHolder;
       readonly entries: readonly JournalEntry[];
     }
-  /** The shared store has the entries under these keys: you need not hold them any longer. */
+  /** Removes the entries under these keys, which are now in the shared store. */
   | {
       readonly kind: 'journal-release';
       readonly disk: DiskId;
       readonly holder: JournalHolder;
       readonly keys: readonly string[];
     }
-  /** Do you hold entries of this job? */
+  /** Whether the replica holds entries of a job. */
   | { readonly kind: 'journal-look'; readonly job: string }
-  /** Which jobs do you hold that the shared store may not know? */
+  /** Lists the jobs with entries, which the shared store may lack. */
   | { readonly kind: 'journal-list' };
 
-/** The answers to the questions, by kind. */
+/** Answers by the kind of the request. */
 export interface JournalAnswers {
   readonly 'journal-claim': ReplicaAnswer;
   readonly 'journal-append': ReplicaAnswer;
--- a/src/journal/journal-file.ts
+++ b/src/journal/journal-file.ts
@@ -1,12 +1,8 @@
 /**
- * Keeps changes of a journal in a file that only grows, one line for each with a checksum before it.
- * A change is kept once the file has been synced. After a loss of power lines behind the last sync
- * may be missing or torn; reading ends at the first that is not whole, as nothing behind it was
- * confirmed. A start writes what is left into a new file, which lasts with its own sync, and only
- * then removes the old ones; a torn end is thereby never written behind.
- *
- * A line that is whole and that this build can't read is one of a newer build, which ran here before:
- * it is passed over, and written again as it is, for that build to find.
+ * Append-only log of journal changes: one line per change, prefixed with a checksum and confirmed by
+ * a sync. Reading stops at the first torn line, because nothing after it was confirmed. Each start
+ * writes the remaining changes to a new file before it removes the old ones. Intact lines of unknown
+ * kinds come from a newer build and are copied unchanged.
  */
 import { randomUUID } from 'node:crypto';
 import { type FileHandle, mkdir, open, readdir, readFile, rm } from 'node:fs/promises';
@@ -21,7 +17,7 @@
 
 const FILE_PATTERN = /^journal-(\d+)\.log$/;
 
-/** Digits of a file's number in its name, so that names sort as numbers do. */
+/** Pads the number in a file name, so that names sort in numerical order. */
 const NUMBER_DIGITS = 8;
 
 const LINE = z.discriminatedUnion('kind', [
@@ -40,7 +36,7 @@
   }),
 ]);
 
-/** A line of a newer build, as it stands in the file. */
+/** An intact line of a newer build, without its checksum. */
 interface UnreadLine {
   readonly kind: 'unread';
   readonly text: string;
@@ -48,16 +44,15 @@
 
 type Line = z.infer<typeof LINE> | UnreadLine;
 
-/** What was found in the files of a folder. */
+/** Content of all journal files in a folder. */
 export interface JournalContent {
   readonly disk: DiskId;
-  /** In the order in which they were made. */
+  /** In the order in which they were written. */
   readonly changes: readonly JournalChange[];
-  /** Lines of a newer build. */
   readonly unread: readonly UnreadLine[];
 }
 
-/** The files of one replica. */
+/** The journal files of one replica. */
 export class JournalFile {
   private handle: FileHandle | undefined;
   private number = 0;
@@ -65,14 +60,14 @@
 
   private constructor(
     private readonly folder: string,
-    /** The life of the disk that the folder is on. */
+    /** Identity of the disk that holds the folder. */
     readonly disk: DiskId,
     private readonly unread: readonly UnreadLine[],
   ) {}
 
   /**
-   * Reads a folder and begins a new file in it with what is still of use; an empty folder is a new
-   * disk. Rejects where the disk takes nothing.
+   * Reads a folder and starts a new file with the changes that `select` returns. An empty folder
+   * gets a new disk identity. Rejects if the disk can't be read or written.
    */
   static async open(
     folder: string,
@@ -83,40 +78,40 @@
     const content = await readAll(folder, names);
     const file = new JournalFile(folder, content.disk, content.unread);
     file.number = numberOf(names.at(-1));
-    await file.startAnew(select(content));
+    await file.rewrite(select(content));
     return file;
   }
 
-  /** Lines of a newer build, which are kept and not read. */
+  /** Number of lines of a newer build, which are preserved but not interpreted. */
   get unreadLines(): number {
     return this.unread.length;
   }
 
-  /** Bytes of the file that is written to. */
+  /** Size of the current file. */
   get bytes(): number {
     return this.size;
   }
 
-  /** Keeps changes; resolves once they are on the disk, and rejects where they may not be. */
+  /** Resolves once the changes are synced; rejects if they may not be on the disk. */
   async append(changes: readonly JournalChange[]): Promise<void> {
-    if (this.handle === undefined) throw new Error('the journal has no file to write to');
+    if (this.handle === undefined) throw new Error('journal file is closed or failed earlier');
     try {
       await this.writeLines(this.handle, changes);
     } catch (error) {
-      // What stands at the end of the file now is not known: nothing is written behind it.
+      // The end of the file may be torn, so nothing may be appended to it.
       await this.handle.close().catch(() => undefined);
       this.handle = undefined;
       throw error;
     }
   }
 
-  /** Whether a write has failed, so that only a new file takes more. */
+  /** Whether appends fail until {@link rewrite} starts a new file. */
   get isBroken(): boolean {
     return this.handle === undefined;
   }
 
-  /** Begins a new file with the given changes in place of all before, and removes the old ones. */
-  async startAnew(changes: readonly JournalChange[]): Promise<void> {
+  /** Starts a new file with these changes only, and then removes the old files. */
+  async rewrite(changes: readonly JournalChange[]): Promise<void> {
     const old = await journalNames(this.folder);
     this.number += 1;
     const name = `journal-${String(this.number).padStart(NUMBER_DIGITS, '0')}.log`;
@@ -135,7 +130,6 @@
     for (const before of old) await rm(path.join(this.folder, before), { force: true });
   }
 
-  /** Writes no more. */
   async close(): Promise<void> {
     await this.handle?.close();
     this.handle = undefined;
@@ -154,7 +148,7 @@
   return `${placementHash(text)} ${text}\n`;
 }
 
-/** A line; `undefined` where it is not whole. */
+/** Returns `undefined` if the line is torn. */
 function decodeLine(text: string): Line | undefined {
   const space = text.indexOf(' ');
   const body = text.slice(space + 1);
@@ -177,20 +171,20 @@
   const unread: UnreadLine[] = [];
   for (const name of names) {
     const text = await readFile(path.join(folder, name), 'utf8');
-    for (const line of wholeLines(text)) {
+    for (const line of intactLines(text)) {
       if (line.kind === 'disk') disk ??= line.disk;
       else if (line.kind === 'unread') unread.push(line);
       else changes.push(line);
     }
   }
-  // A process that ended while it began a file left some of them in two.
+  // A process that terminated during a rewrite leaves the same lines in two files.
   const texts = new Set(unread.map(({ text }) => text));
-  const kept = [...texts].map((text) => ({ kind: 'unread', text }) as const);
-  return { disk: disk ?? randomUUID(), changes, unread: kept };
+  const distinctUnread = [...texts].map((text) => ({ kind: 'unread', text }) as const);
+  return { disk: disk ?? randomUUID(), changes, unread: distinctUnread };
 }
 
-/** Lines up to the first that is not whole; an end without a line feed was torn. */
-function wholeLines(text: string): Line[] {
+/** Decodes lines up to the first torn one; text after the last line feed counts as torn. */
+function intactLines(text: string): Line[] {
   const lines: Line[] = [];
   for (const part of text.split('\n').slice(0, -1)) {
     const line = decodeLine(part);
--- a/src/journal/journal-process.ts
+++ b/src/journal/journal-process.ts
@@ -1,4 +1,4 @@
-/** The life of a process that keeps a replica of its zone's journal. */
+/** Runs a journal replica as a process: opens it, serves gateways and registers its address. */
 import type { NodeId, ZoneName } from '../core/identity.js';
 import type { Milliseconds } from '../core/units.js';
 import { PeerServer } from '../peers/peer-server.js';
@@ -12,10 +12,10 @@
 export interface JournalProcessOptions {
   readonly node: NodeId;
   readonly zone: ZoneName;
-  /** Where gateways reach it. */
+  /** Address on which the replica serves gateways. */
   readonly ip: string;
   readonly port: number;
-  /** Folder of the journal's files. */
+  /** Holds the journal files. */
   readonly folder: string;
   readonly store: SharedStore;
   readonly clock: Clock;
@@ -24,33 +24,32 @@
   readonly retention: () => Milliseconds;
 }
 
-/** Pause before a disk that took nothing is tried again. */
-const OPEN_RETRY_PAUSE: Milliseconds = 1_000;
+const OPEN_RETRY_INTERVAL: Milliseconds = 1_000;
 
-/** One replica with its address and its record. */
+/** A running replica with its server and its registration. */
 export class JournalProcess {
   private constructor(
     private readonly replica: JournalReplica,
     private readonly server: PeerServer,
     private readonly registration: ReplicaRegistration,
-    /** IP and port. */
+    /** `IP:PORT` of the replica's server. */
     readonly address: string,
   ) {}
 
-  /** Opens the replica, answers gateways, and then tells them where it is. */
+  /** Opens the replica, starts its server and then registers its address. */
   static async start(options: JournalProcessOptions): Promise<JournalProcess> {
     const { node, zone, ip, store, clock, log } = options;
-    const replica = await openOnceWritable(options);
+    const replica = await openWithRetry(options);
     const server = new PeerServer(replica, (error) => log.fault('journal-question-failed', error));
     const port = await server.listen(ip, options.port);
     const address = `${ip}:${port}`;
-    const place = { node, zone, address, disk: replica.disk };
-    const registration = new ReplicaRegistration({ store, place, clock, log });
+    const location = { node, zone, address, disk: replica.disk };
+    const registration = new ReplicaRegistration({ store, location, clock, log });
     void registration.run();
     return new JournalProcess(replica, server, registration, address);
   }
 
-  /** Takes its record away, answers what it has taken, and ends. */
+  /** Removes the record, stops the server and completes the pending requests. */
   async stop(): Promise<void> {
     await this.registration.stop();
     this.server.stop();
@@ -58,14 +57,14 @@
   }
 }
 
-/** A disk may be full when the process starts; a process that ended would only start again. */
-async function openOnceWritable(options: JournalProcessOptions): Promise<JournalReplica> {
+/** Retries until the folder is writable: a process that exits would only be restarted. */
+async function openWithRetry(options: JournalProcessOptions): Promise<JournalReplica> {
   for (;;) {
     try {
       return await JournalReplica.open(options.folder, options);
     } catch (error) {
       options.log.fault('journal-not-opened', error);
-      await options.clock.sleep(OPEN_RETRY_PAUSE);
+      await options.clock.sleep(OPEN_RETRY_INTERVAL);
     }
   }
 }
--- a/src/journal/journal-replica.ts
+++ b/src/journal/journal-replica.ts
@@ -1,6 +1,6 @@
 /**
- * One replica of a zone's journal: answers holders, after what they were promised is on the disk.
- * Questions that change something are answered in turn, each with a sync of its own.
+ * One replica of a zone's journal. Requests that change the state run one at a time, and each is
+ * answered after its change is synced to disk.
  */
 import type { Milliseconds } from '../core/units.js';
 import type { PeerAnswers, PeerHandler, PeerRequest } from '../peers/peer-messages.js';
@@ -16,10 +16,10 @@
 import { type JournalContent, JournalFile } from './journal-file.js';
 import { type JournalChange, JournalState } from './journal-state.js';
 
-/** Bytes of the file beyond which it is written anew without what is released. */
-const LARGEST_FILE = 33_554_432;
+/** A larger file is compacted before the next append. */
+const MAX_FILE_BYTES = 33_554_432;
 
-/** Time for which a job is kept beyond the time for which jobs stay readable. */
+/** Time for which entries outlast the readability of their job. */
 const RETENTION_MARGIN: Milliseconds = 60_000;
 
 /** Options of {@link JournalReplica}. */
@@ -30,7 +30,7 @@
   readonly retention: () => Milliseconds;
 }
 
-/** Answers the questions of holders. */
+/** Serves the journal requests of job owners. */
 export class JournalReplica implements PeerHandler {
   private queue: Promise<unknown> = Promise.resolve();
 
@@ -40,14 +40,14 @@
     private readonly file: JournalFile,
   ) {}
 
-  /** Opens the replica that a folder holds; an empty one holds a new replica. */
+  /** Opens the replica stored in a folder; an empty folder starts a new replica. */
   static async open(folder: string, options: JournalReplicaOptions): Promise<JournalReplica> {
     const state = new JournalState();
     const select = ({ changes }: JournalContent): readonly JournalChange[] => {
       for (const change of changes) {
-        if (state.rivalOf(change.holder) === undefined) state.apply(change);
+        if (state.conflictingHolder(change.holder) === undefined) state.apply(change);
       }
-      state.dropOlderThan(oldestOf(options));
+      state.removeOlderThan(oldestRetainedTime(options));
       return state.changes();
     };
     const file = await JournalFile.open(folder, select);
@@ -57,7 +57,7 @@
     return new JournalReplica(options, state, file);
   }
 
-  /** The life of its disk. */
+  /** Identity of the replica's disk. */
   get disk(): string {
     return this.file.disk;
   }
@@ -68,7 +68,7 @@
       case 'journal-claim':
       case 'journal-append':
       case 'journal-release':
-        return this.inTurn(() => this.change(request));
+        return this.enqueue(() => this.applyRequest(request));
       case 'journal-look':
         return { disk, holdsEntries: this.state.entriesOf(request.job).length > 0 };
       case 'journal-list':
@@ -78,34 +78,34 @@
     }
   }
 
-  /** Ends after the questions that it has taken. */
+  /** Closes the file after the pending requests. */
   async stop(): Promise<void> {
-    await this.inTurn(() => this.file.close());
+    await this.enqueue(() => this.file.close());
   }
 
-  private inTurn<Value>(work: () => Promise<Value>): Promise<Value> {
-    const turn = this.queue.then(work);
-    // A failed turn is told to who asked for it; the next one is not its concern.
-    this.queue = turn.catch(() => undefined);
-    return turn;
+  private enqueue<Value>(work: () => Promise<Value>): Promise<Value> {
+    const result = this.queue.then(work);
+    // A failure rejects only its own caller, not the requests queued after it.
+    this.queue = result.catch(() => undefined);
+    return result;
   }
 
-  private async change(
+  private async applyRequest(
     request: Extract<JournalRequest, { holder: JournalHolder }>,
   ): Promise<ReplicaAnswer> {
     const { holder } = request;
     if (request.disk !== this.disk) return { kind: 'other-disk' };
-    const rival = this.state.rivalOf(holder);
-    if (rival !== undefined) return { kind: 'refused', holder: rival };
+    const conflicting = this.state.conflictingHolder(holder);
+    if (conflicting !== undefined) return { kind: 'refused', holder: conflicting };
     const change = this.changeOf(request);
-    if (change !== undefined && !(await this.keep(change))) return { kind: 'unwritable' };
+    if (change !== undefined && !(await this.persist(change))) return { kind: 'unwritable' };
     if (request.kind !== 'journal-claim') return { kind: 'granted', entries: [] };
     const entries = this.state.entriesOf(holder.job);
     this.logUnknown(holder, entries);
     return { kind: 'granted', entries };
   }
 
-  /** A newer build, which ran the job before, left something that the next owner passes over. */
+  /** Logs entries of a newer build, which the new owner ignores. */
   private logUnknown({ job }: JournalHolder, entries: readonly JournalEntry[]): void {
     const unknown = entries.filter((entry) => !isKnownEntry(entry));
     if (unknown.length === 0) return;
@@ -113,7 +113,7 @@
     this.options.log.state('journal-entries-unknown', { job, kinds, entries: unknown.length });
   }
 
-  /** What a question changes; `undefined` where nothing new has to be kept for it. */
+  /** The change that a request makes; `undefined` if there is nothing to persist. */
   private changeOf(
     request: Extract<JournalRequest, { holder: JournalHolder }>,
   ): JournalChange | undefined {
@@ -123,14 +123,14 @@
       return { kind: 'released', holder, keys: request.keys, at };
     }
     const entries = request.kind === 'journal-append' ? request.entries : [];
-    if (entries.length === 0 && this.state.isHolder(holder)) return undefined;
+    if (entries.length === 0 && this.state.isCurrentHolder(holder)) return undefined;
     return { kind: 'held', holder, entries, at };
   }
 
-  /** Puts a change on the disk and makes it; tells whether that was possible. */
-  private async keep(change: JournalChange): Promise<boolean> {
+  /** Writes a change to disk and applies it; returns whether the write succeeded. */
+  private async persist(change: JournalChange): Promise<boolean> {
     try {
-      if (this.file.isBroken || this.file.bytes > LARGEST_FILE) await this.startAnew();
+      if (this.file.isBroken || this.file.bytes > MAX_FILE_BYTES) await this.compact();
       await this.file.append([change]);
     } catch (error) {
       this.options.log.fault('journal-write-failed', error);
@@ -140,13 +140,13 @@
     return true;
   }
 
-  private async startAnew(): Promise<void> {
-    this.state.dropOlderThan(oldestOf(this.options));
-    await this.file.startAnew(this.state.changes());
+  private async compact(): Promise<void> {
+    this.state.removeOlderThan(oldestRetainedTime(this.options));
+    await this.file.rewrite(this.state.changes());
   }
 }
 
-/** Time of day before which nothing is needed any longer. */
-function oldestOf({ clock, retention }: JournalReplicaOptions): Milliseconds {
+/** Time of day before which changes may be removed. */
+function oldestRetainedTime({ clock, retention }: JournalReplicaOptions): Milliseconds {
   return clock.wallTime() - retention() - RETENTION_MARGIN;
 }
--- a/src/journal/journal-state.ts
+++ b/src/journal/journal-state.ts
@@ -1,19 +1,18 @@
 /**
- * What one replica of a zone's journal knows, apart from where it is kept. A holder of a job writes
- * under a term; once a replica has heard of a higher term, or of another writer under the same one,
- * it takes nothing more from the holder before. A holder writes to all replicas of its job, so one
- * replica that knows better is enough to stop it.
+ * In-memory state of one journal replica. A holder writes under a term; the replica rejects a holder
+ * with a lower term, and another writer under the same term. Since a holder writes to all replicas of
+ * its job, one replica that has accepted a later holder stops the earlier one.
  */
 import type { Milliseconds } from '../core/units.js';
 import { type JournalEntry, type JournalHolder, keyOfEntry } from './journal-entries.js';
 
-/** One change of the state, as it is kept on the disk. */
+/** A change of the state, as stored on disk. */
 export type JournalChange =
   | {
       readonly kind: 'held';
       readonly holder: JournalHolder;
       readonly entries: readonly JournalEntry[];
-      /** Time of day, for the removal of what nobody needs any longer. */
+      /** Time of day; entries are removed by its age. */
       readonly at: Milliseconds;
     }
   | {
@@ -23,41 +22,40 @@
       readonly at: Milliseconds;
     };
 
-interface KnownJob {
+interface JobState {
   holder: JournalHolder;
-  touchedAt: Milliseconds;
+  changedAt: Milliseconds;
   readonly entries: Map<string, JournalEntry>;
 }
 
-/** The jobs of one replica. */
+/** Holders and entries of the jobs on one replica. */
 export class JournalState {
-  private readonly jobs = new Map<string, KnownJob>();
+  private readonly jobs = new Map<string, JobState>();
 
-  /** Who keeps a holder from writing; `undefined` where nobody does. */
-  rivalOf(holder: JournalHolder): JournalHolder | undefined {
+  /** The holder that prevents another from writing; `undefined` if that one may write. */
+  conflictingHolder(holder: JournalHolder): JournalHolder | undefined {
     const known = this.jobs.get(holder.job)?.holder;
     if (known === undefined || holder.term > known.term) return undefined;
     return holder.term === known.term && holder.writer === known.writer ? undefined : known;
   }
 
-  /** Whether a holder that may write is known as such already. */
-  isHolder(holder: JournalHolder): boolean {
+  /** Whether a holder is already recorded as the one that writes its job. */
+  isCurrentHolder(holder: JournalHolder): boolean {
     const known = this.jobs.get(holder.job)?.holder;
     return known?.term === holder.term && known.writer === holder.writer;
   }
 
-  /** Makes a change; it must not have a rival. */
+  /** Applies a change whose holder is known to have no {@link conflictingHolder}. */
   apply(change: JournalChange): void {
     const { holder } = change;
-    const known = this.jobs.get(holder.job) ?? { holder, touchedAt: 0, entries: new Map() };
+    const known = this.jobs.get(holder.job) ?? { holder, changedAt: 0, entries: new Map() };
     known.holder = holder;
-    known.touchedAt = change.at;
+    known.changedAt = change.at;
     if (change.kind === 'released') for (const key of change.keys) known.entries.delete(key);
     else for (const entry of change.entries) known.entries.set(keyOfEntry(entry), entry);
     this.jobs.set(holder.job, known);
   }
 
-  /** Entries of a job. */
   entriesOf(job: string): readonly JournalEntry[] {
     return [...(this.jobs.get(job)?.entries.values() ?? [])];
   }
@@ -68,14 +66,14 @@
     return withEntries.map(({ holder }) => holder);
   }
 
-  /** Forgets jobs that were not touched since a time of day. */
-  dropOlderThan(limit: Milliseconds): void {
-    for (const [job, { touchedAt }] of this.jobs) if (touchedAt < limit) this.jobs.delete(job);
+  /** Removes jobs whose last change was before a time of day. */
+  removeOlderThan(limit: Milliseconds): void {
+    for (const [job, { changedAt }] of this.jobs) if (changedAt < limit) this.jobs.delete(job);
   }
 
-  /** All that is known, as changes that make the same state. */
+  /** Changes that rebuild the current state. */
   changes(): JournalChange[] {
-    return [...this.jobs.values()].map(({ holder, entries, touchedAt: at }) => ({
+    return [...this.jobs.values()].map(({ holder, entries, changedAt: at }) => ({
       kind: 'held',
       holder,
       entries: [...entries.values()],
--- a/src/journal/replica-directory.ts
+++ b/src/journal/replica-directory.ts
@@ -1,7 +1,7 @@
 /**
- * The replicas of the zones' journals, by the records that they keep in the shared store. A record
- * goes with its lease when its zone is cut off from the store, so a replica is remembered beyond it:
- * what it may hold is not gone.
+ * Directory of the journal replicas, built from their records in the shared store. The record of a
+ * partitioned replica expires with its lease, so the directory retains the replica for a while: it
+ * may still hold entries.
  */
 import { rendezvousOrder } from '../core/hashing.js';
 import type { NodeId, ZoneName } from '../core/identity.js';
@@ -12,37 +12,34 @@
 import { parseReplicaLocation, REPLICA_PREFIX } from './replica-record.js';
 
 /**
- * Key prefix of the zones that have a journal. Such a key stays: a gateway that starts while a zone is
- * cut off then knows that there is one, whose replicas it has never heard of.
+ * Key prefix of the zones that have a journal. The keys have no lease, so a gateway that starts while
+ * a zone is partitioned still learns that the zone has a journal.
  */
 export const JOURNAL_ZONE_PREFIX = 'fleet/journal-zone/';
 
-/**
- * Time for which a replica whose record has gone is still written to: one that comes back after a cut
- * of its zone registers again within seconds.
- */
-const USE_AFTER_LAPSE: Milliseconds = 5_000;
+/** Covers the time in which a replica registers again after its zone was partitioned. */
+const WRITE_PERIOD_AFTER_EXPIRY: Milliseconds = 5_000;
 
-/** Time for which a replica whose record has gone may still hold what nobody else holds. */
-const MEMORY_AFTER_LAPSE: Milliseconds = 600_000;
+/** Time for which a replica with an expired record may hold entries that exist nowhere else. */
+const READ_PERIOD_AFTER_EXPIRY: Milliseconds = 600_000;
 
 interface KnownReplica {
-  readonly place: ReplicaLocation;
-  /** By {@link suspendAwareTime}; infinite while its record is there. */
-  lapsedAt: Milliseconds;
+  readonly location: ReplicaLocation;
+  /** In {@link suspendAwareTime}; infinite while the record exists. */
+  expiredAt: Milliseconds;
 }
 
-/** Which replicas are meant: those to write to, or all that may hold something. */
+/** Selects the replicas that accept writes, or all that may hold entries. */
 type ReplicaUse = 'write' | 'read';
 
 /** Options of {@link ReplicaDirectory}. */
 export interface ReplicaDirectoryOptions {
   readonly clock: Pick<Clock, 'now' | 'suspendedTime'>;
-  /** Replicas that keep a job: one more than the machines with disks that may be lost at once. */
+  /** Replicas per job: one more than the number of disks that may be lost at once. */
   readonly groupSize: number;
 }
 
-/** Knows the replicas. */
+/** Known replicas by node. */
 export class ReplicaDirectory {
   private readonly replicas = new Map<NodeId, KnownReplica>();
   private readonly draining = new Set<NodeId>();
@@ -51,61 +48,61 @@
 
   constructor(private readonly options: ReplicaDirectoryOptions) {}
 
-  /** Takes in a change under the prefix of the fleet. */
+  /** Applies a change of a key under the fleet prefix; other keys are ignored. */
   applyChange({ key, value }: StoreChange): void {
     if (key.startsWith(JOURNAL_ZONE_PREFIX)) this.zones.add(key.slice(JOURNAL_ZONE_PREFIX.length));
     if (!key.startsWith(REPLICA_PREFIX)) return;
     const node = key.slice(REPLICA_PREFIX.length);
     if (value === undefined) {
       const known = this.replicas.get(node);
-      if (known !== undefined) known.lapsedAt = suspendAwareTime(this.options.clock);
+      if (known !== undefined) known.expiredAt = suspendAwareTime(this.options.clock);
       return;
     }
-    const place = parseReplicaLocation(value);
-    if (place === undefined) return;
-    this.zones.add(place.zone);
-    this.replicas.set(node, { place, lapsedAt: Number.POSITIVE_INFINITY });
+    const location = parseReplicaLocation(value);
+    if (location === undefined) return;
+    this.zones.add(location.zone);
+    this.replicas.set(node, { location, expiredAt: Number.POSITIVE_INFINITY });
   }
 
-  /** The store has told all that lies under the prefix of the fleet. */
+  /** Called once all keys under the fleet prefix were listed. */
   noteListed(): void {
     this.hasList = true;
   }
 
-  /** Whether all zones that have a journal are known. */
+  /** Whether the list of zones with a journal is complete. */
   get isListed(): boolean {
     return this.hasList;
   }
 
-  /** The replicas that are to keep a job of a zone; `undefined` where the zone has too few. */
+  /** The replicas to store a job of a zone; `undefined` if the zone has too few. */
   groupFor(job: string, zone: ZoneName): readonly ReplicaLocation[] | undefined {
     const { groupSize } = this.options;
-    const usable = this.placesIn(zone, 'write');
+    const usable = this.locationsIn(zone, 'write');
     if (usable.length < groupSize) return undefined;
     return rendezvousOrder(job, usable, ({ node }) => node).slice(0, groupSize);
   }
 
-  /** Replicas that may hold something, by zone; none where a zone's journal is only heard of. */
+  /** Replicas that may hold entries, by zone; empty for a zone whose replicas are not known. */
   byZone(): ReadonlyMap<ZoneName, readonly ReplicaLocation[]> {
-    return new Map([...this.zones].map((zone) => [zone, this.placesIn(zone, 'read')]));
+    return new Map([...this.zones].map((zone) => [zone, this.locationsIn(zone, 'read')]));
   }
 
-  /** The replica on a machine, if one is known there. */
+  /** The known replica on a machine. */
   replicaOn(node: NodeId): ReplicaLocation | undefined {
-    return this.replicas.get(node)?.place;
+    return this.replicas.get(node)?.location;
   }
 
-  /** A machine is to be emptied: its replica is written to for no new job. */
+  /** Excludes the replica of a draining machine from new jobs. */
   noteDraining(node: NodeId): void {
     this.draining.add(node);
   }
 
-  private placesIn(zone: ZoneName, use: ReplicaUse): ReplicaLocation[] {
+  private locationsIn(zone: ZoneName, use: ReplicaUse): ReplicaLocation[] {
     const now = suspendAwareTime(this.options.clock);
-    const lapse = use === 'write' ? USE_AFTER_LAPSE : MEMORY_AFTER_LAPSE;
+    const period = use === 'write' ? WRITE_PERIOD_AFTER_EXPIRY : READ_PERIOD_AFTER_EXPIRY;
     return [...this.replicas.values()]
-      .filter(({ place, lapsedAt }) => place.zone === zone && now - lapsedAt < lapse)
-      .map(({ place }) => place)
+      .filter(({ location, expiredAt }) => location.zone === zone && now - expiredAt < period)
+      .map(({ location }) => location)
       .filter(({ node }) => use === 'read' || !this.draining.has(node));
   }
 }
--- a/src/journal/replica-location.ts
+++ b/src/journal/replica-location.ts
@@ -1,12 +1,12 @@
-/** Where the replicas of zones' journals are. */
+/** Location of a journal replica: its node, zone, address and disk. */
 import * as z from 'zod';
 import type { NodeId, ZoneName } from '../core/identity.js';
 import { openRecord } from '../core/open-record.js';
 
-/** Names one life of a disk: an empty disk in the place of another has another. */
+/** Identity of a disk's content: an empty disk gets a new one. */
 export type DiskId = string;
 
-/** Where one replica of a zone's journal is, and on which disk. */
+/** Schema of {@link ReplicaLocation}. */
 export const REPLICA_LOCATION = openRecord({
   node: z.string(),
   zone: z.string(),
@@ -14,7 +14,7 @@
   disk: z.string(),
 });
 
-/** One replica of a zone's journal. */
+/** Where one replica of a zone's journal runs, and which disk it has. */
 export type ReplicaLocation = z.infer<typeof REPLICA_LOCATION> & {
   readonly node: NodeId;
   readonly zone: ZoneName;
--- a/src/journal/replica-record.ts
+++ b/src/journal/replica-record.ts
@@ -1,19 +1,19 @@
-/** What a replica of a zone's journal tells of itself in the shared store. */
+/** Record of a journal replica in the shared store. */
 import * as z from 'zod';
 import { FORMAT_FIELD, type FormatVersion, OWN_FORMAT } from '../core/format-version.js';
 import { REPLICA_LOCATION, type ReplicaLocation } from './replica-location.js';
 
-/** Key prefix of the replicas' records, under the prefix of the fleet. */
+/** Key prefix of replica records, under the fleet prefix. */
 export const REPLICA_PREFIX = 'fleet/replica/';
 
 const REPLICA_RECORD = z.object({ ...REPLICA_LOCATION.shape, format: FORMAT_FIELD });
 
-/** The record of a replica that this build runs. */
-export function replicaRecordOf(place: ReplicaLocation): string {
-  return JSON.stringify({ ...place, format: OWN_FORMAT });
+/** Encodes the record of a replica that runs this build. */
+export function replicaRecordOf(location: ReplicaLocation): string {
+  return JSON.stringify({ ...location, format: OWN_FORMAT });
 }
 
-/** Reads where a replica is; a record that is none is one of a replica that nobody uses. */
+/** Decodes the location in a record; `undefined` if the text is not a valid record. */
 export function parseReplicaLocation(text: string): ReplicaLocation | undefined {
   const record = parse(text);
   if (record === undefined) return undefined;
@@ -21,7 +21,7 @@
   return { node, zone, address, disk };
 }
 
-/** What the build of a replica reads; `undefined` where the text is no record. */
+/** The record format that a replica's build reads; `undefined` if the text is not a valid record. */
 export function replicaFormatOf(text: string): FormatVersion | undefined {
   return parse(text)?.format;
 }
--- a/src/journal/replica-registration.ts
+++ b/src/journal/replica-registration.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps a replica's record in the shared store under a lease, so that gateways know where it is and
- * that it lives. A record that lapsed while the store was out of reach is written again.
+ * Maintains a replica's record in the shared store under a lease, so that gateways can locate live
+ * replicas. A record that expired while the store was unreachable is written again.
  */
 import type { NodeId } from '../core/identity.js';
 import type { Milliseconds } from '../core/units.js';
@@ -11,19 +11,18 @@
 import type { ReplicaLocation } from './replica-location.js';
 import { REPLICA_PREFIX, replicaRecordOf } from './replica-record.js';
 
-/** Life of the record without renewal: three renewals may fail. */
+/** Tolerates three failed renewals. */
 const LEASE_TTL: Milliseconds = 10_000;
 
-/** Time between two renewals. */
 const RENEWAL_INTERVAL: Milliseconds = 3_000;
 
-/** The same while the store does not answer: a zone that returns is to have its journal soon. */
+/** Interval while the store does not answer; short, so that a reconnected zone soon has its journal. */
 const RETRY_INTERVAL: Milliseconds = 600;
 
 /** Options of {@link ReplicaRegistration}. */
 export interface ReplicaRegistrationOptions {
   readonly store: SharedStore;
-  readonly place: ReplicaLocation;
+  readonly location: ReplicaLocation;
   readonly clock: Pick<Clock, 'sleep'>;
   readonly log: DecisionLog;
 }
@@ -35,7 +34,7 @@
 
   constructor(private readonly options: ReplicaRegistrationOptions) {}
 
-  /** Registers and renews; resolves once stopped. */
+  /** Registers the replica and renews its lease; resolves after {@link stop}. */
   async run(): Promise<void> {
     const { clock } = this.options;
     while (!this.isStopped) {
@@ -44,25 +43,25 @@
     }
   }
 
-  /** Takes the record away: the replica is about to leave. */
+  /** Revokes the lease, which removes the record. */
   async stop(): Promise<void> {
     this.isStopped = true;
     if (this.lease !== NO_LEASE) await this.options.store.revokeLease(this.lease);
   }
 
   private async register(): Promise<boolean> {
-    const { store, place, log } = this.options;
+    const { store, location, log } = this.options;
     const grant = await store.grantLease(LEASE_TTL);
     if (grant.kind !== 'granted' || this.isStopped) return false;
     const { lease } = grant;
     const put = [
-      { key: keyOf(place.node), value: replicaRecordOf(place), lease },
-      { key: `${JOURNAL_ZONE_PREFIX}${place.zone}`, value: '' },
+      { key: keyOf(location.node), value: replicaRecordOf(location), lease },
+      { key: `${JOURNAL_ZONE_PREFIX}${location.zone}`, value: '' },
     ];
     const outcome = await store.commit({ expected: [], put });
     if (outcome.kind !== 'committed') return false;
     this.lease = lease;
-    log.state('replica-registered', { disk: place.disk });
+    log.state('replica-registered', { disk: location.disk });
     return true;
   }
 
--- a/src/journal/zone-journals.ts
+++ b/src/journal/zone-journals.ts
@@ -1,10 +1,7 @@
 /**
- * The journals of all zones, as one gateway uses them: it opens the journals of jobs that it runs,
- * and asks what the journals of other zones hold before it says that something is not there.
- *
- * A zone that is cut off from the shared store goes on taking jobs in and listing results by its
- * journal. Meanwhile a node outside knows only what the store holds, and must not answer as if that
- * were all.
+ * Journals of all zones, as one gateway uses them. A zone that is partitioned from the shared store
+ * still accepts jobs and lists results in its journal, so a gateway queries the other zones' journals
+ * before it answers that a job does not exist.
  */
 import type { NodeId, ZoneName } from '../core/identity.js';
 import type { Milliseconds } from '../core/units.js';
@@ -15,16 +12,15 @@
 import type { ReplicaDirectory } from './replica-directory.js';
 import type { ReplicaLocation } from './replica-location.js';
 
-/** Time for a replica of any zone to answer what it holds. */
-const LOOK_LIMIT: Milliseconds = 300;
+const REPLICA_QUERY_TIMEOUT: Milliseconds = 300;
 
 /**
- * Replicas of a zone that have to deny a job whose own replicas are not known: one of them may have
- * come after the job.
+ * Replicas of a zone that have to report no entries of a job whose own replicas are not known: one
+ * of them may be newer than the job.
  */
-const DENIALS = 2;
+const REQUIRED_DENIALS = 2;
 
-/** The first term of a job; each further owner writes under the next. */
+/** The first term of a job; each later owner writes under a higher one. */
 export const FIRST_TERM = 1;
 
 /** Options of {@link ZoneJournals}. */
@@ -33,14 +29,14 @@
   readonly metrics: FleetMetrics;
   readonly directory: ReplicaDirectory;
   readonly zone: ZoneName;
-  /** Names this life of this node. */
+  /** Incarnation of this node. */
   readonly writer: string;
 }
 
-/** What replicas told of a job: `held` by one at least, `not-held` surely, or nothing sure. */
+/** `held`: at least one replica holds entries of the job; `not-held`: surely none does. */
 export type EntryStatus = 'held' | 'not-held' | 'unsure';
 
-/** Opens journals of jobs, and looks into those of others. */
+/** Opens the journals of owned jobs and queries those of other jobs. */
 export class ZoneJournals {
   constructor(private readonly options: ZoneJournalsOptions) {}
 
@@ -49,68 +45,74 @@
     return this.options.zone;
   }
 
-  /** Whether this zone has the replicas to take jobs in by itself. */
+  /** Whether this zone has enough replicas to accept jobs without the shared store. */
   get isUsable(): boolean {
     return this.options.directory.groupFor('', this.options.zone) !== undefined;
   }
 
-  /** The journal of a job that is handed in here; `undefined` where the zone has too few replicas. */
+  /** The journal of a job submitted here; `undefined` if the zone has too few replicas. */
   openNew(job: string): JobJournal | undefined {
     const { directory, zone } = this.options;
     const replicas = directory.groupFor(job, zone);
     return replicas === undefined ? undefined : this.open(job, replicas, FIRST_TERM);
   }
 
-  /** The journal of a job that has one, under a term. */
+  /** The journal of a job on the replicas that it already has, for an owner of the given term. */
   open(job: string, replicas: readonly ReplicaLocation[], term: number): JobJournal {
     const { port, metrics, writer } = this.options;
     return new JobJournal({ port, metrics, replicas, holder: { job, term, writer } });
   }
 
-  /** Whether the replicas of a job hold entries of it that the store may lack. */
+  /** Whether the replicas of a job hold entries that the shared store may lack. */
   async entryStatus(job: string, replicas: readonly ReplicaLocation[]): Promise<EntryStatus> {
-    const answers = await Promise.all(replicas.map((replica) => this.look(job, replica)));
+    const answers = await Promise.all(replicas.map((replica) => this.queryReplica(job, replica)));
     if (answers.includes('held')) return 'held';
     return answers.includes('not-held') ? 'not-held' : 'unsure';
   }
 
   /**
-   * Whether the journal of any zone holds entries of a job that the store does not know. Surely not
-   * only where replicas of each zone that has any say so.
+   * Whether the journal of any zone holds entries of a job that the shared store lacks. `not-held`
+   * takes enough answers from every zone that has a journal.
    */
   entryStatusInAllZones(job: string): Promise<EntryStatus> {
-    return this.sightIn([...this.options.directory.byZone().values()], job);
+    return this.entryStatusIn([...this.options.directory.byZone().values()], job);
   }
 
-  /** The same without this zone, whose journal this node has claimed. */
+  /** Like {@link entryStatusInAllZones}, without this zone, whose journal this node has claimed. */
   entryStatusInOtherZones(job: string): Promise<EntryStatus> {
     const zones = new Map(this.options.directory.byZone());
     zones.delete(this.options.zone);
-    return this.sightIn([...zones.values()], job);
+    return this.entryStatusIn([...zones.values()], job);
   }
 
-  private async sightIn(
+  private async entryStatusIn(
     zones: readonly (readonly ReplicaLocation[])[],
     job: string,
   ): Promise<EntryStatus> {
     if (!this.options.directory.isListed) return 'unsure';
-    const sights = await Promise.all(
-      zones.map((replicas) => Promise.all(replicas.map((replica) => this.look(job, replica)))),
+    const statusesByZone = await Promise.all(
+      zones.map((replicas) =>
+        Promise.all(replicas.map((replica) => this.queryReplica(job, replica))),
+      ),
     );
-    if (sights.flat().includes('held')) return 'held';
-    const isSure = sights.every((told) => {
-      const denials = told.filter((sight) => sight === 'not-held').length;
-      return told.length > 0 && denials >= Math.min(DENIALS, told.length);
+    if (statusesByZone.flat().includes('held')) return 'held';
+    const areAllZonesSure = statusesByZone.every((statuses) => {
+      const denials = statuses.filter((status) => status === 'not-held').length;
+      return statuses.length > 0 && denials >= Math.min(REQUIRED_DENIALS, statuses.length);
     });
-    return isSure ? 'not-held' : 'unsure';
+    return areAllZonesSure ? 'not-held' : 'unsure';
   }
 
-  /** Holders of jobs in this zone's journal that the store may not know, with their replicas. */
+  /** Latest holders of the jobs in this zone's journal whose entries the shared store may lack. */
   async unsyncedHolders(): Promise<readonly JournalHolder[]> {
     const replicas = this.options.directory.byZone().get(this.options.zone) ?? [];
     const answers = await Promise.all(
       replicas.map(({ address }) =>
-        this.options.port.request<'journal-list'>(address, { kind: 'journal-list' }, LOOK_LIMIT),
+        this.options.port.request<'journal-list'>(
+          address,
+          { kind: 'journal-list' },
+          REPLICA_QUERY_TIMEOUT,
+        ),
       ),
     );
     const holders = new Map<string, JournalHolder>();
@@ -124,7 +126,7 @@
     return [...holders.values()];
   }
 
-  /** Whether the replica on a machine holds entries, or may: one that does not answer may. */
+  /** Whether the replica on a machine may hold entries; a replica that does not answer may. */
   async holdsEntries(node: NodeId): Promise<boolean> {
     const replica = this.options.directory.replicaOn(node);
     if (replica === undefined) return false;
@@ -132,19 +134,26 @@
     const outcome = await this.options.port.request<'journal-list'>(
       replica.address,
       request,
-      LOOK_LIMIT,
+      REPLICA_QUERY_TIMEOUT,
     );
     return outcome.kind !== 'answered' || outcome.answer.jobs.length > 0;
   }
 
-  /** The replicas of this zone, for jobs whose own are not known. */
+  /** The replicas of this zone, for jobs whose own replicas are not known. */
   replicasInOwnZone(): readonly ReplicaLocation[] {
     return this.options.directory.byZone().get(this.options.zone) ?? [];
   }
 
-  private async look(job: string, { address, disk }: ReplicaLocation): Promise<EntryStatus> {
+  private async queryReplica(
+    job: string,
+    { address, disk }: ReplicaLocation,
+  ): Promise<EntryStatus> {
     const request = { kind: 'journal-look', job } as const;
-    const outcome = await this.options.port.request<'journal-look'>(address, request, LOOK_LIMIT);
+    const outcome = await this.options.port.request<'journal-look'>(
+      address,
+      request,
+      REPLICA_QUERY_TIMEOUT,
+    );
     if (outcome.kind !== 'answered') return 'unsure';
     if (outcome.answer.holdsEntries) return 'held';
     return outcome.answer.disk === disk ? 'not-held' : 'unsure';
--- a/src/shared-store/metered-store.ts
+++ b/src/shared-store/metered-store.ts
@@ -1,17 +1,17 @@
-/** Counts and times the calls to a shared store. */
+/** Metrics of the calls to a shared store. */
 import type { Clock } from '../serving/clock.js';
 import type { FleetMetrics } from '../telemetry/fleet-metrics.js';
 import type { SharedStore } from './shared-store.js';
 
 /**
- * Wraps a store so that each of its calls is counted by outcome, and timed unless it waits. Failures
- * are told, as they hint that the store is out of reach; renewals of leases tell theirs themselves.
+ * Wraps a store: counts each call by its outcome and times it, except for watches, which wait.
+ * `onFailure` is called after a failed call other than a lease renewal, whose caller reports it.
  */
 export function meteredStore(
   store: SharedStore,
   metrics: FleetMetrics,
   clock: Clock,
-  noteFailure: () => void = () => {},
+  onFailure: () => void = () => {},
 ): SharedStore {
   const metered = async <Outcome extends { readonly kind: string }>(
     call: string,
@@ -19,7 +19,7 @@
   ): Promise<Outcome> => {
     const startedAt = clock.now();
     const outcome = await work();
-    if (outcome.kind === 'failed' && call !== 'keep') noteFailure();
+    if (outcome.kind === 'failed' && call !== 'keep') onFailure();
     metrics.count('store_calls', { call, outcome: outcome.kind });
     if (call !== 'watch') metrics.observe('store_seconds', { call }, clock.now() - startedAt);
     return outcome;
--- a/src/shared-store/prefix-mirror.ts
+++ b/src/shared-store/prefix-mirror.ts
@@ -1,26 +1,26 @@
 /**
- * All that lies under one prefix of the shared store, as this node's own list and watch of it tell,
- * with the changes that came lately. Other nodes follow the prefix here instead of at the store.
+ * In-memory copy of one prefix of the shared store and its recent changes, fed by this node's own
+ * list and watch. Other nodes follow the prefix here instead of at the store.
  */
 import type { Revision } from '../core/units.js';
 import type { StoreChange, StoreItem } from './shared-store.js';
 
-/** Changes kept at most; a follower that is further behind lists the prefix here. */
-const MOST_CHANGES = 1_000;
+/** A follower that lags behind by more changes lists the prefix again. */
+const MAX_RETAINED_CHANGES = 1_000;
 
-/** What a list of a prefix shows. */
+/** All items under a prefix at one revision. */
 export interface PrefixSnapshot {
   readonly items: readonly StoreItem[];
   readonly revision: Revision;
 }
 
-/** A copy of one prefix. */
+/** Mirror of one prefix. */
 export class PrefixMirror {
   private items: Map<string, StoreItem>;
   private changes: StoreChange[] = [];
-  /** What {@link snapshot} gave last; all that ask before the next change get the same one. */
+  /** Cached result of {@link snapshot}, shared by all callers until the next change. */
   private lastSnapshot: PrefixSnapshot | undefined;
-  /** All changes after this revision are kept, up to `end`. */
+  /** `changes` is complete after this revision, up to `end`. */
   private begin: Revision;
   private end: Revision;
 
@@ -30,22 +30,22 @@
     this.end = revision;
   }
 
-  /** Revision up to which everything is known. */
+  /** Revision up to which the mirror is complete. */
   get revision(): Revision {
     return this.end;
   }
 
-  /** The prefix as it is known here. */
+  /** Current content of the prefix. */
   get snapshot(): PrefixSnapshot {
     this.lastSnapshot ??= { items: [...this.items.values()], revision: this.end };
     return this.lastSnapshot;
   }
 
-  /** Takes in a new list. Where it shows what no watch told, followers have to list anew. */
+  /** Applies a list. If it differs from the mirror, followers have to list again. */
   applyList({ items, revision }: PrefixSnapshot): void {
     if (revision < this.end) return;
     this.lastSnapshot = undefined;
-    if (!this.holds(items)) {
+    if (!this.hasSameItems(items)) {
       this.items = byKey(items);
       this.changes = [];
       this.begin = revision;
@@ -53,18 +53,18 @@
     this.end = revision;
   }
 
-  /** Takes in what a watch told that began at `after`; tells whether it goes on where this ends. */
+  /** Applies the changes of a watch from `after` on; returns false if they would leave a gap. */
   applyChanges(after: Revision, changes: readonly StoreChange[], revision: Revision): boolean {
     if (after > this.end) return false;
     this.lastSnapshot = undefined;
     const known = this.end;
     for (const change of changes) if (change.revision > known) this.apply(change);
     this.end = Math.max(this.end, revision);
-    this.dropOldest();
+    this.removeOldest();
     return true;
   }
 
-  /** All changes after a revision; `undefined` where some of them are not kept. */
+  /** All changes after a revision; `undefined` if some of them are no longer retained. */
   changesAfter(after: Revision): readonly StoreChange[] | undefined {
     if (after < this.begin) return undefined;
     return this.changes.filter((change) => change.revision > after);
@@ -77,16 +77,16 @@
     this.changes.push(change);
   }
 
-  private holds(items: readonly StoreItem[]): boolean {
+  private hasSameItems(items: readonly StoreItem[]): boolean {
     if (items.length !== this.items.size) return false;
     return items.every(({ key, revision }) => this.items.get(key)?.revision === revision);
   }
 
-  private dropOldest(): void {
-    const excess = this.changes.length - MOST_CHANGES;
+  private removeOldest(): void {
+    const excess = this.changes.length - MAX_RETAINED_CHANGES;
     if (excess <= 0) return;
-    const dropped = this.changes.splice(0, excess);
-    this.begin = Math.max(this.begin, dropped.at(-1)?.revision ?? this.begin);
+    const removed = this.changes.splice(0, excess);
+    this.begin = Math.max(this.begin, removed.at(-1)?.revision ?? this.begin);
   }
 }
 
--- a/src/shared-store/prefix-watcher.ts
+++ b/src/shared-store/prefix-watcher.ts
@@ -1,12 +1,8 @@
 /**
- * Follows a prefix of the shared store: lists it once, then watches from the list's revision on.
- * After lost history or a failed call it lists again and reports the difference, so that followers
- * see a change that no watch told; and once more a moment later, as a watch that begins while the
- * store recovers may not hear what changes meanwhile.
- *
- * A list may come from a node that is some changes behind: what is known to be newer than the list
- * stays. Failed calls are repeated after pauses that double, with jitter, so that the end of an
- * outage does not bring all nodes to the store at once.
+ * Follows a prefix of the shared store with a list and then watches. After compacted history or a
+ * failed call it lists again and reports the difference, and once more after a delay, because a watch
+ * that starts while the store recovers may miss changes. A list may be older than what is known, so
+ * newer revisions win. Retries back off with jitter.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { Subject } from 'rxjs';
@@ -17,18 +13,15 @@
 export interface PrefixWatcherOptions {
   readonly store: SharedStore;
   readonly prefix: string;
-  /** Longest wait of one watch call. @default 25,000 ms */
+  /** Maximum wait of one watch call. @default 25,000 ms */
   readonly wait?: Milliseconds;
-  /**
-   * Pause between an answer and the next watch: changes that come close together then cost one
-   * call. @default 100 ms
-   */
+  /** Pause between an answer and the next watch, so that one call returns a burst. @default 100 ms */
   readonly coalesce?: Milliseconds;
-  /** Pause after the first failed call; it doubles with each further one. @default 250 ms */
+  /** Pause after the first failed call; doubles with each further failure. @default 250 ms */
   readonly retryPause?: Milliseconds;
-  /** Longest pause after a failed call. @default 1,000 ms */
-  readonly longestRetryPause?: Milliseconds;
-  /** Time after a list that followed a loss, when it is made once more. @default 1,000 ms */
+  /** Upper limit of the pause after a failed call. @default 1,000 ms */
+  readonly maxRetryPause?: Milliseconds;
+  /** Time after which a list that followed a loss is repeated. @default 1,000 ms */
   readonly confirmationDelay?: Milliseconds;
 }
 
@@ -36,48 +29,48 @@
   wait: 25_000,
   coalesce: 100,
   retryPause: 250,
-  longestRetryPause: 1_000,
+  maxRetryPause: 1_000,
   confirmationDelay: 1_000,
 } as const;
 
-/** Share of a pause that is drawn at random, so that nodes do not repeat their calls together. */
+/** Randomized share of a pause, so that nodes do not retry simultaneously. */
 const JITTER_SHARE = 0.3;
 
-/** What a watcher reports: a batch of changes, and whether it came from a full list. */
+/** A batch of changes. */
 export interface PrefixUpdate {
   readonly changes: readonly StoreChange[];
+  /** Whether the batch comes from a full list. */
   readonly listed: boolean;
 }
 
-/** Whether a watcher hears from the store. */
+/** Emitted when calls to the store begin to fail, and when they succeed again. */
 export type WatchHealth = 'lost' | 'regained';
 
-/** Follows one prefix until stopped. */
+/** Watcher of one prefix; runs until stopped. */
 export class PrefixWatcher {
-  /** All changes, in order. */
+  /** Batches of changes, in order. */
   readonly updates = new Subject<PrefixUpdate>();
-  /** Losses of the store, and its return. */
+  /** Transitions of the connection to the store. */
   readonly health = new Subject<WatchHealth>();
   private readonly options: Required<PrefixWatcherOptions>;
   private isStopped = false;
-  private call = new AbortController();
-  private readonly known = new Map<string, Revision>();
-  /** Keys that are gone, by the revision of their removal: an older list may still show them. */
-  private readonly removed = new Map<string, Revision>();
+  private pendingWatch = new AbortController();
+  private readonly knownRevisions = new Map<string, Revision>();
+  /** Removed keys with the revision of their removal, because an older list may still contain them. */
+  private readonly removedAt = new Map<string, Revision>();
   private failures = 0;
   private revision: Revision = 0;
   private isLost = false;
   private isListed = false;
-  /** Whether something was lost since the last list. */
-  private hasLost = false;
-  /** Steady time at which the prefix is listed once more. */
+  /** Whether changes may have been missed since the last list. */
+  private hadLoss = false;
+  /** Steady time at which the list is repeated. */
   private confirmAt: Milliseconds | undefined;
 
   constructor(options: PrefixWatcherOptions) {
     this.options = { ...DEFAULTS, ...options };
   }
 
-  /** What it follows. */
   get prefix(): string {
     return this.options.prefix;
   }
@@ -90,27 +83,26 @@
     }
   }
 
-  /** Ends the watch. */
   stop(): void {
     this.isStopped = true;
-    this.call.abort();
+    this.pendingWatch.abort();
   }
 
   /**
-   * Gives a waiting call up and asks anew. A call that was sent before the store fell silent may
-   * wait for an answer that never comes; whoever hears from the store again says so here.
+   * Aborts a pending watch and starts another. Called when the store answers again, because a watch
+   * sent before an outage may never be answered.
    */
   restart(): void {
-    this.call.abort();
+    this.pendingWatch.abort();
   }
 
   private async listOnce(): Promise<Milliseconds> {
     const outcome = await this.options.store.range(this.options.prefix);
-    if (outcome.kind === 'failed') return this.noteLost();
-    this.noteHeard();
+    if (outcome.kind === 'failed') return this.recordFailure();
+    this.recordAnswer();
     this.isListed = true;
-    this.confirmAt = this.hasLost ? performance.now() + this.options.confirmationDelay : undefined;
-    this.hasLost = false;
+    this.confirmAt = this.hadLoss ? performance.now() + this.options.confirmationDelay : undefined;
+    this.hadLoss = false;
     this.revision = outcome.revision;
     const changes = this.differences(outcome.items, outcome.revision);
     this.updates.next({ changes, listed: true });
@@ -119,19 +111,19 @@
 
   private async watchOnce(): Promise<Milliseconds> {
     const { store, prefix, coalesce } = this.options;
-    this.call = new AbortController();
-    const { signal } = this.call;
+    this.pendingWatch = new AbortController();
+    const { signal } = this.pendingWatch;
     const outcome = await store.watch(prefix, this.revision, this.nextWait(), signal);
     if (signal.aborted) return 0;
-    if (outcome.kind === 'failed') return this.noteLost();
-    this.noteHeard();
+    if (outcome.kind === 'failed') return this.recordFailure();
+    this.recordAnswer();
     if (outcome.kind === 'compacted') {
-      this.listAfterLoss();
+      this.relistAfterLoss();
       return 0;
     }
     if (this.timeToConfirm() <= 0) this.isListed = false;
     this.revision = Math.max(this.revision, outcome.revision);
-    const changes = outcome.changes.filter((change) => this.isNew(change));
+    const changes = outcome.changes.filter((change) => this.recordIfNew(change));
     if (changes.length === 0) return 0;
     this.updates.next({ changes, listed: false });
     return coalesce;
@@ -145,48 +137,48 @@
     return (this.confirmAt ?? Number.POSITIVE_INFINITY) - performance.now();
   }
 
-  private listAfterLoss(): void {
+  private relistAfterLoss(): void {
     this.isListed = false;
-    this.hasLost = true;
+    this.hadLoss = true;
   }
 
-  private isNew(change: StoreChange): boolean {
+  private recordIfNew(change: StoreChange): boolean {
     const { key, value, revision } = change;
-    if (revision <= (this.known.get(key) ?? this.removed.get(key) ?? 0)) return false;
+    if (revision <= (this.knownRevisions.get(key) ?? this.removedAt.get(key) ?? 0)) return false;
     if (value === undefined) {
-      this.known.delete(key);
-      this.removed.set(key, revision);
+      this.knownRevisions.delete(key);
+      this.removedAt.set(key, revision);
     } else {
-      this.known.set(key, revision);
-      this.removed.delete(key);
+      this.knownRevisions.set(key, revision);
+      this.removedAt.delete(key);
     }
     return true;
   }
 
   private differences(items: readonly StoreItem[], listRevision: Revision): StoreChange[] {
     const present = new Set(items.map((item) => item.key));
-    const gone = [...this.known]
+    const removals = [...this.knownRevisions]
       .filter(([key, revision]) => !present.has(key) && revision <= listRevision)
       .map(([key]) => ({ key, value: undefined, revision: listRevision }));
-    for (const { key } of gone) this.known.delete(key);
-    const fresh = items.filter((item) => this.isNew(item));
-    for (const [key, revision] of this.removed) {
-      if (revision <= listRevision) this.removed.delete(key);
+    for (const { key } of removals) this.knownRevisions.delete(key);
+    const updates = items.filter((item) => this.recordIfNew(item));
+    for (const [key, revision] of this.removedAt) {
+      if (revision <= listRevision) this.removedAt.delete(key);
     }
-    return [...gone, ...fresh];
+    return [...removals, ...updates];
   }
 
-  private noteLost(): Milliseconds {
+  private recordFailure(): Milliseconds {
     if (!this.isLost) this.health.next('lost');
     this.isLost = true;
-    this.listAfterLoss();
-    const { retryPause, longestRetryPause } = this.options;
-    const pause = Math.min(retryPause * 2 ** this.failures, longestRetryPause);
+    this.relistAfterLoss();
+    const { retryPause, maxRetryPause } = this.options;
+    const pause = Math.min(retryPause * 2 ** this.failures, maxRetryPause);
     this.failures += 1;
     return pause * (1 - JITTER_SHARE * Math.random());
   }
 
-  private noteHeard(): void {
+  private recordAnswer(): void {
     if (this.isLost) this.health.next('regained');
     this.isLost = false;
     this.failures = 0;
--- a/src/shared-store/shared-store.ts
+++ b/src/shared-store/shared-store.ts
@@ -1,16 +1,16 @@
 /**
- * The port to the key-value store that all nodes of a fleet share: linearizable reads, conditional
- * commits, watches and leases. An adapter implements it; nothing here names a wire protocol.
+ * Port to the key-value store that all nodes of a fleet share: linearizable reads, conditional
+ * commits, watches and leases. Adapters map it to a wire protocol.
  */
 import type { Milliseconds, Revision } from '../core/units.js';
 
-/** Number of a lease; `NO_LEASE` stands for none. */
+/** Identifies a lease; {@link NO_LEASE} stands for none. */
 export type LeaseId = number;
 
-/** A key that belongs to no lease. */
+/** Lease of a key that does not expire. */
 export const NO_LEASE: LeaseId = 0;
 
-/** The revision of a key that does not exist, as a condition of a commit. */
+/** Revision that a commit condition expects of a key that does not exist. */
 export const ABSENT: Revision = 0;
 
 /** One key of the store. */
@@ -22,7 +22,7 @@
   readonly revision: Revision;
 }
 
-/** One change that a watch reports; a removed key has `value` undefined. */
+/** A change reported by a watch; `value` is `undefined` for a removed key. */
 export interface StoreChange {
   readonly key: string;
   readonly value: string | undefined;
@@ -30,17 +30,17 @@
 }
 
 /**
- * A call without a usable answer. `not-done` is a promise; after `unknown` a write may have taken
- * effect, or may still do so later if its condition then holds.
+ * A call without a usable answer. `not-done` guarantees that a write had no effect; after `unknown`
+ * it may have taken effect, or may still do so later if its conditions hold then.
  */
 export type StoreFailure = { readonly kind: 'failed'; readonly effect: 'not-done' | 'unknown' };
 
-/** Outcome of reading one key. */
+/** `item` is `undefined` if the key does not exist. */
 export type StoreGetOutcome =
   | { readonly kind: 'item'; readonly item: StoreItem | undefined }
   | StoreFailure;
 
-/** Outcome of reading a prefix whole. */
+/** `revision` is that of the store when the read began. */
 export type StoreRangeOutcome =
   | { readonly kind: 'items'; readonly items: readonly StoreItem[]; readonly revision: Revision }
   | StoreFailure;
@@ -50,20 +50,20 @@
   | {
       readonly kind: 'changes';
       readonly changes: readonly StoreChange[];
-      /** The next watch goes on from here. */
+      /** The next watch continues from here. */
       readonly revision: Revision;
     }
-  /** The history from the asked revision on is gone: list the prefix again. */
+  /** The store no longer has the history from the requested revision on: list the prefix again. */
   | { readonly kind: 'compacted' }
   | StoreFailure;
 
-/** A condition of a commit: the key was last changed at this revision. */
+/** Holds if the last change of the key has this revision. */
 export interface StoreCondition {
   readonly key: string;
   readonly revision: Revision;
 }
 
-/** One key that a commit writes. */
+/** A key written by a commit. */
 export interface StorePut {
   readonly key: string;
   readonly value: string;
@@ -71,14 +71,13 @@
   readonly lease?: LeaseId;
 }
 
-/** A change that is made whole or not at all. */
+/** An atomic write, applied only if all conditions hold. */
 export interface StoreCommit {
   readonly expected: readonly StoreCondition[];
   readonly put?: readonly StorePut[];
   readonly remove?: readonly string[];
 }
 
-/** Outcome of a commit. */
 export type StoreCommitOutcome =
   | { readonly kind: 'committed'; readonly revision: Revision }
   /** A condition did not hold. */
@@ -86,12 +85,11 @@
   | { readonly kind: 'lease-gone' }
   | StoreFailure;
 
-/** Outcome of granting a lease. */
 export type StoreGrantOutcome =
   | { readonly kind: 'granted'; readonly lease: LeaseId; readonly ttl: Milliseconds }
   | StoreFailure;
 
-/** Outcome of renewing a lease. */
+/** `gone`: the lease has expired or was revoked. */
 export type StoreRenewOutcome =
   | { readonly kind: 'kept' }
   | { readonly kind: 'gone' }
@@ -102,7 +100,7 @@
   get(key: string): Promise<StoreGetOutcome>;
   /** Reads all keys under a prefix that come after `afterKey`, in key order. */
   range(prefix: string, afterKey?: string): Promise<StoreRangeOutcome>;
-  /** Waits until something under the prefix changes after a revision, `wait` at most. */
+  /** Resolves at the first change under the prefix after a revision, or after `wait`. */
   watch(
     prefix: string,
     after: Revision,
--- a/test/journal/job-journal.test.ts
+++ b/test/journal/job-journal.test.ts
@@ -1,7 +1,6 @@
 /**
- * Two owners of one job never both believe that the journal is theirs, and what one was told is kept
- * is found by the next, whatever replicas are out of reach, start again or lose their disks meanwhile,
- * as long as one replica's disk is there.
+ * Guards against two owners of one job writing at the same time, and against the loss of stored
+ * entries while one replica's disk survives.
  */
 import fc from 'fast-check';
 import t from 'tap';
@@ -9,19 +8,19 @@
 import type { JournalEntry } from '../../src/journal/journal-entries.js';
 import { JournalZone, page } from './journal-fixtures.js';
 
-t.test('an entry is kept once all replicas have it', async (t) => {
+t.test('an entry is stored once all replicas have it', async (t) => {
   const zone = await JournalZone.open(t);
   const journal = zone.journals('node-1/life-1').openNew('job') as JobJournal;
   t.same(await journal.claim(), { kind: 'claimed', entries: [] });
   t.equal(await journal.append([page(0)]), 'kept');
   zone.unreachable.add(zone.addresses[2] ?? '');
   t.equal(await journal.append([page(1)]), 'unsure');
-  t.equal(await journal.append([]), 'unsure', 'nor is it sure that nobody else writes');
+  t.equal(await journal.append([]), 'unsure', 'another owner may be writing');
   zone.unreachable.clear();
   t.equal(await journal.append([page(1)]), 'kept');
 });
 
-t.test('one replica is enough to keep the owner before from writing', async (t) => {
+t.test('one replica is enough to stop the previous owner from writing', async (t) => {
   const zone = await JournalZone.open(t);
   const first = zone.journals('node-1/life-1').openNew('job') as JobJournal;
   await first.claim();
@@ -33,7 +32,7 @@
   t.equal(await first.append([page(1)]), 'lost');
 });
 
-t.test('a job is claimed by one of two nodes that were handed it', async (t) => {
+t.test('only one of two nodes with the same submission claims the job', async (t) => {
   const zone = await JournalZone.open(t);
   const one = zone.journals('node-1/life-1').openNew('job') as JobJournal;
   const other = zone.journals('node-2/life-2').openNew('job') as JobJournal;
@@ -42,7 +41,7 @@
   t.equal(await other.append([page(0)]), 'lost');
 });
 
-t.test('disks that are lost while others are there lose nothing', async (t) => {
+t.test('no entry is lost while one disk survives', async (t) => {
   const zone = await JournalZone.open(t);
   const [one = '', two = '', three = ''] = zone.addresses;
   const first = zone.journals('node-1/life-1').openNew('job') as JobJournal;
@@ -50,20 +49,20 @@
   await first.append([page(0)]);
   await zone.restart(one, 'empty');
   await zone.restart(two, 'empty');
-  t.equal(await first.append([page(1)]), 'unsure', 'an empty disk is not one of the job');
+  t.equal(await first.append([page(1)]), 'unsure', 'an empty disk does not belong to the job');
   const next = zone.journals('node-2/life-2').open('job', first.replicas, 2);
   const claim = await next.claim();
   t.equal(claim.kind, 'claimed');
   t.ok(claim.kind === 'claimed' && claim.entries.some((entry) => entry.kind === 'page'));
   zone.unreachable.add(three);
   const later = zone.journals('node-3/life-3').open('job', first.replicas, 3);
-  t.equal((await later.claim()).kind, 'silent', 'the one that is left may hold something');
+  t.equal((await later.claim()).kind, 'silent', 'the remaining disk may hold entries');
   zone.unreachable.clear();
   await zone.restart(three, 'empty');
   t.equal((await later.claim()).kind, 'disks-gone');
 });
 
-/** One thing that happens to a job and its replicas. */
+/** One event of a random run. */
 type Step =
   | { readonly kind: 'keep'; readonly owner: number }
   | { readonly kind: 'take-over'; readonly owner: number }
@@ -77,7 +76,7 @@
   fc.record({ kind: fc.constantFrom('cut' as const, 'heal', 'restart'), replica: REPLICA }),
 );
 
-t.test('whatever happens, what was kept is found by the next owner', async (t) => {
+t.test('the next owner finds all stored entries after any sequence of events', async (t) => {
   await fc.assert(
     fc.asyncProperty(fc.array(STEP, { maxLength: 25 }), async (steps) => {
       const zone = await JournalZone.open(t);
@@ -117,7 +116,7 @@
   );
 });
 
-t.test('who looks from outside is sure only where replicas say so', async (t) => {
+t.test('a query from another zone is certain only if the replicas answer', async (t) => {
   const zone = await JournalZone.open(t);
   const inside = zone.journals('node-1/life-1');
   const outside = zone.journals('node-9/life-9', 'zone-2');
--- a/test/journal/journal-file.test.ts
+++ b/test/journal/journal-file.test.ts
@@ -1,4 +1,4 @@
-/** What a replica confirmed is there after losses of power and torn writes; an empty disk is another. */
+/** Guards against the loss of confirmed changes after a power failure or a torn write. */
 import { appendFileSync, readdirSync, readFileSync, writeFileSync } from 'node:fs';
 import path from 'node:path';
 import t from 'tap';
@@ -12,8 +12,8 @@
   return { kind: 'held', holder: HOLDER, entries: numbers.map(page), at: 1_000 };
 }
 
-/** Opens a folder and tells what was found there. */
-async function reopened(folder: string) {
+/** Opens a folder and returns the changes read from it. */
+async function openFolder(folder: string) {
   let changes: readonly JournalChange[] = [];
   const file = await JournalFile.open(folder, (content) => {
     ({ changes } = content);
@@ -28,13 +28,13 @@
   return path.join(folder, names[0] ?? '');
 }
 
-t.test('changes and the name of the disk last over a start', async (t) => {
+t.test('changes and the disk identity survive a restart', async (t) => {
   const folder = temporaryFolder(t);
-  const first = await reopened(folder);
+  const first = await openFolder(folder);
   await first.file.append([held(0)]);
   await first.file.append([held(1), { kind: 'released', holder: HOLDER, keys: ['page/0'], at: 2 }]);
   await first.file.close();
-  const second = await reopened(folder);
+  const second = await openFolder(folder);
   t.equal(second.file.disk, first.file.disk);
   t.same(second.changes, [
     held(0),
@@ -44,62 +44,62 @@
   await second.file.close();
 });
 
-t.test('a torn end is passed over, and nothing is written behind it', async (t) => {
+t.test('a torn end is ignored, and nothing is appended to it', async (t) => {
   const folder = temporaryFolder(t);
-  const first = await reopened(folder);
+  const first = await openFolder(folder);
   await first.file.append([held(0)]);
   await first.file.close();
   const whole = readFileSync(onlyFile(folder), 'utf8').trimEnd().split('\n').at(-1) ?? '';
   for (const tear of [whole.slice(0, 30), `${whole.slice(0, 30)}\n`, `1${whole}\n`, '\0\0\0\n']) {
     appendFileSync(onlyFile(folder), tear);
-    const torn = await reopened(folder);
+    const torn = await openFolder(folder);
     t.same(torn.changes, [held(0)]);
     await torn.file.append([held(1)]);
     await torn.file.close();
-    const after = await reopened(folder);
+    const after = await openFolder(folder);
     t.same(after.changes, [held(0), held(1)]);
-    await after.file.startAnew([held(0)]);
+    await after.file.rewrite([held(0)]);
     await after.file.close();
   }
 });
 
-t.test('a start that ended between its new file and the removal of the old one', async (t) => {
+t.test('a crash between writing a new file and removing the old one loses nothing', async (t) => {
   const folder = temporaryFolder(t);
-  const first = await reopened(folder);
+  const first = await openFolder(folder);
   await first.file.append([held(0)]);
   await first.file.close();
   const old = onlyFile(folder);
   const text = readFileSync(old);
-  const second = await reopened(folder);
+  const second = await openFolder(folder);
   await second.file.append([held(1)]);
   await second.file.close();
   writeFileSync(old, text);
-  const third = await reopened(folder);
+  const third = await openFolder(folder);
   t.equal(third.file.disk, first.file.disk);
   t.same(third.changes.at(-1), held(1));
   await third.file.close();
 });
 
-t.test('an empty folder is another disk', async (t) => {
-  const first = await reopened(temporaryFolder(t));
-  const second = await reopened(temporaryFolder(t));
+t.test('an empty folder gets a new disk identity', async (t) => {
+  const first = await openFolder(temporaryFolder(t));
+  const second = await openFolder(temporaryFolder(t));
   t.not(first.file.disk, second.file.disk);
   await first.file.close();
   await second.file.close();
 });
 
-t.test('a file that failed takes nothing until it is begun anew', async (t) => {
-  const { file } = await reopened(temporaryFolder(t));
+t.test('a closed file rejects appends until it is rewritten', async (t) => {
+  const { file } = await openFolder(temporaryFolder(t));
   await file.close();
   t.ok(file.isBroken);
   await t.rejects(file.append([held(0)]));
-  await file.startAnew([]);
+  await file.rewrite([]);
   await file.append([held(0)]);
   t.notOk(file.isBroken);
   await file.close();
 });
 
-t.test('a replica answers after a start as it did before', async (t) => {
+t.test('a replica restores its state after a restart', async (t) => {
   const folder = temporaryFolder(t);
   const before = await openReplica(folder);
   const { disk } = before;
--- a/test/journal/journal-fixtures.ts
+++ b/test/journal/journal-fixtures.ts
@@ -1,4 +1,4 @@
-/** Replicas of a journal in folders of their own, and a way to them that can be cut. */
+/** Journal replicas in temporary folders, behind a peer port that can simulate partitions. */
 import { mkdtempSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import path from 'node:path';
@@ -18,7 +18,7 @@
 
 export const ZONE = 'zone-1';
 
-/** A folder that goes with its test. */
+/** A folder that is removed after its test. */
 export function temporaryFolder(test: Test): string {
   const folder = mkdtempSync(path.join(tmpdir(), 'journal-'));
   test.teardown(() => rmSync(folder, { recursive: true, force: true }));
@@ -30,13 +30,13 @@
   return JournalReplica.open(folder, { clock: new ManualClock(), log, retention: () => 120_000 });
 }
 
-/** Three replicas of one zone. */
+/** Replicas of one zone, three by default, as a peer port. */
 export class JournalZone implements PeerPort {
-  /** Replicas by address; one that is missing does not answer. */
+  /** Replicas by address; a missing one does not answer. */
   readonly replicas = new Map<string, JournalReplica>();
-  /** Addresses that cannot be reached. */
+  /** Addresses of partitioned replicas. */
   readonly unreachable = new Set<string>();
-  /** Addresses of replicas of other zones that hold nothing; the others of these do not answer. */
+  /** Replicas of other zones that answer and hold no entries, by address. */
   readonly denying = new Map<string, ReplicaLocation>();
   readonly folders = new Map<string, string>();
   readonly places: ReplicaLocation[] = [];
@@ -63,7 +63,7 @@
     this.test.teardown(() => replica.stop());
   }
 
-  /** The machine loses power and starts again, with its disk or an empty one. */
+  /** Simulates a power failure and a restart, with the same disk or an empty one. */
   async restart(address: string, disk: 'kept' | 'empty' = 'kept'): Promise<void> {
     await this.replicas.get(address)?.stop();
     const before = this.folders.get(address) ?? '';
@@ -79,9 +79,9 @@
     request: PeerRequest,
   ): Promise<PeerOutcome<Kind>> {
     this.asked.push(request);
-    const denying = this.denying.get(address);
-    if (denying !== undefined) {
-      const answer = { disk: denying.disk, holdsEntries: false };
+    const emptyReplica = this.denying.get(address);
+    if (emptyReplica !== undefined) {
+      const answer = { disk: emptyReplica.disk, holdsEntries: false };
       return { kind: 'answered', answer } as unknown as PeerOutcome<Kind>;
     }
     const replica = this.replicas.get(address);
@@ -90,17 +90,17 @@
     return { kind: 'answered', answer } as PeerOutcome<Kind>;
   }
 
-  /** The journals as a node of a zone uses them; it knows all replicas, also those of other zones. */
+  /** The journals as used by a node of a zone that knows the replicas of all zones. */
   journals(
     writer: string,
     zone = ZONE,
     clock = new ManualClock(),
-    elsewhere: readonly ReplicaLocation[] = [],
+    otherReplicas: readonly ReplicaLocation[] = [],
   ): ZoneJournals {
     const directory = new ReplicaDirectory({ clock, groupSize: 3 });
-    for (const place of [...this.places, ...elsewhere]) {
-      const key = `${REPLICA_PREFIX}${place.node}`;
-      directory.applyChange({ key, value: JSON.stringify(place), revision: 1 });
+    for (const location of [...this.places, ...otherReplicas]) {
+      const key = `${REPLICA_PREFIX}${location.node}`;
+      directory.applyChange({ key, value: JSON.stringify(location), revision: 1 });
     }
     directory.noteListed();
     return new ZoneJournals({ port: this, metrics: new FleetMetrics(), directory, zone, writer });
--- a/test/journal/older-build.test.ts
+++ b/test/journal/older-build.test.ts
@@ -1,4 +1,4 @@
-/** Files of journals that builds of two formats read and write in turn. */
+/** Guards the compatibility of journal files between this build, format 1 and later builds. */
 import { appendFileSync, mkdirSync, readdirSync, readFileSync, writeFileSync } from 'node:fs';
 import path from 'node:path';
 import t from 'tap';
@@ -18,7 +18,7 @@
 const NEXT = { job: 'job', term: 2, writer: 'node-2/life-2' };
 
 /** An entry of a later build. */
-const LATER = { kind: 'moved', key: 'moved/1', to: 'zone-2' } as unknown as JournalEntry;
+const LATER_ENTRY = { kind: 'moved', key: 'moved/1', to: 'zone-2' } as unknown as JournalEntry;
 
 function line(content: object): string {
   const text = JSON.stringify(content);
@@ -41,8 +41,8 @@
   return lines.map((text) => JSON.parse(text.slice(text.indexOf(' ') + 1)));
 }
 
-/** Opens a replica and tells what it logged. */
-async function opened(folder: string) {
+/** Opens a replica and returns its log lines. */
+async function openWithLog(folder: string) {
   const { log, lines } = recordingLog();
   const options = { clock: new ManualClock(), log, retention: () => 120_000 };
   return { replica: await JournalReplica.open(folder, options), lines };
@@ -53,7 +53,7 @@
   return replica.answer(request);
 }
 
-t.test('a file of an older build is read whole', async (t) => {
+t.test('a file of an older build is read completely', async (t) => {
   const folder = folderWith(
     t,
     JOURNAL_LINES.map((text) => `${text}\n`),
@@ -76,65 +76,62 @@
   t.match(read.at(-1)?.data, { kind: 'held', entries: [page(0)] });
 });
 
-t.test(
-  'lines of a later build are kept through starts, and what stands behind is read',
-  async (t) => {
-    const later = line({ kind: 'moved', job: 'job', at: 1 });
-    const folder = folderWith(t, [
-      line({ kind: 'disk', disk: 'disk-1', format: 9 }),
-      later,
-      line({ kind: 'held', holder: HOLDER, entries: [page(0)], at: 1_000, further: true }),
-    ]);
-    const { replica, lines } = await opened(folder);
-    t.ok(lines.some((text) => text.includes('"unreadLines":1')));
-    await replica.stop();
-    const again = await opened(folder);
-    t.match(await entriesAt(again.replica), { kind: 'granted', entries: [page(0)] });
-    await again.replica.stop();
-    t.match(readFileSync(fileIn(folder), 'utf8'), later);
-  },
-);
-
-t.test('a torn line is still the end of a file', async (t) => {
+t.test('lines of a later build survive restarts, and the lines after them are read', async (t) => {
+  const later = line({ kind: 'moved', job: 'job', at: 1 });
+  const folder = folderWith(t, [
+    line({ kind: 'disk', disk: 'disk-1', format: 9 }),
+    later,
+    line({ kind: 'held', holder: HOLDER, entries: [page(0)], at: 1_000, further: true }),
+  ]);
+  const { replica, lines } = await openWithLog(folder);
+  t.ok(lines.some((text) => text.includes('"unreadLines":1')));
+  await replica.stop();
+  const again = await openWithLog(folder);
+  t.match(await entriesAt(again.replica), { kind: 'granted', entries: [page(0)] });
+  await again.replica.stop();
+  t.match(readFileSync(fileIn(folder), 'utf8'), later);
+});
+
+t.test('reading stops at a torn line of a later build', async (t) => {
   const folder = temporaryFolder(t);
   const first = await openReplica(folder);
   await first.stop();
   appendFileSync(fileIn(folder), line({ kind: 'moved', job: 'job' }).slice(0, -9));
   appendFileSync(fileIn(folder), `\n${line({ kind: 'held', holder: HOLDER, entries: [], at: 1 })}`);
-  const { replica, lines } = await opened(folder);
+  const { replica, lines } = await openWithLog(folder);
   t.ok(lines.some((text) => text.includes('"unreadLines":0')));
   await replica.stop();
   t.equal(bodiesIn(folder).length, 1);
 });
 
-t.test('an entry of a later build is kept, passed over and not released', async (t) => {
+t.test('an entry of a later build is stored, and released only under its own key', async (t) => {
   const folder = temporaryFolder(t);
   const first = await openReplica(folder);
   const append = { kind: 'journal-append', disk: first.disk, holder: HOLDER } as const;
-  await first.answer({ ...append, entries: [page(0), LATER] });
+  await first.answer({ ...append, entries: [page(0), LATER_ENTRY] });
   await first.stop();
 
-  const { replica, lines } = await opened(folder);
-  t.match(await entriesAt(replica), { kind: 'granted', entries: [page(0), LATER] });
+  const { replica, lines } = await openWithLog(folder);
+  t.match(await entriesAt(replica), { kind: 'granted', entries: [page(0), LATER_ENTRY] });
   t.ok(lines.some((text) => text.includes('"journal-entries-unknown"')));
   const release = { kind: 'journal-release', disk: replica.disk, holder: NEXT } as const;
   await replica.answer({ ...release, keys: ['page/0', 'moved'] });
-  t.match(await entriesAt(replica), { kind: 'granted', entries: [LATER] });
+  t.match(await entriesAt(replica), { kind: 'granted', entries: [LATER_ENTRY] });
   await replica.answer({ ...release, keys: ['moved/1'] });
   t.match(await entriesAt(replica), { kind: 'granted', entries: [] });
   await replica.stop();
 });
 
-t.test('an owner is told only of entries that it knows', async (t) => {
+t.test('a claim returns only entries of known kinds', async (t) => {
   const zone = await JournalZone.open(t);
   const options = { port: zone, metrics: new FleetMetrics(), replicas: zone.places };
   const before = new JobJournal({ ...options, holder: HOLDER });
-  t.equal(await before.append([page(0), LATER]), 'kept');
+  t.equal(await before.append([page(0), LATER_ENTRY]), 'kept');
   const next = new JobJournal({ ...options, holder: NEXT });
   t.same(await next.claim(), { kind: 'claimed', entries: [page(0)] });
 });
 
-t.test('records of replicas are read both ways', async (t) => {
+t.test('builds of both formats read replica records of each other', async (t) => {
   const record = RECORDS['fleet/replica/disk-1'];
   t.same(parseReplicaLocation(record), JSON.parse(record));
   const place = { node: 'disk-1', zone: 'zone-1', address: '10.0.0.9:1', disk: 'disk-life-1' };
--- a/test/journal/replica-directory.test.ts
+++ b/test/journal/replica-directory.test.ts
@@ -1,10 +1,6 @@
 /**
- * What was seen (soak, seed 540): a job that had been accepted was said not to be there. Order of events:
- * a zone without the store took the job in by its journal, and the gateway that ran it was killed; another
- * gateway had just started, found nothing in the store, and knew no replica yet that it could have asked.
- *
- * Evidence: job-journaled at gateway-5, 404 to a reader within the next second, and job-recovered at the
- * same gateway 2.6 s later, with what the reader had been told before.
+ * Guards against a 404 for an accepted job: a gateway that has just started must not rely on the store
+ * alone before it knows the replicas of a partitioned zone's journal.
  */
 import t from 'tap';
 import { JOURNAL_ZONE_PREFIX, ReplicaDirectory } from '../../src/journal/replica-directory.js';
@@ -14,7 +10,7 @@
 import { ManualClock } from '../jobs/job-fixtures.js';
 import { JournalZone, ZONE } from './journal-fixtures.js';
 
-function started(zone: JournalZone) {
+function newGateway(zone: JournalZone) {
   const clock = new ManualClock();
   const directory = new ReplicaDirectory({ clock, groupSize: 3 });
   const shared = { port: zone, metrics: new FleetMetrics(), directory };
@@ -24,9 +20,9 @@
   return { clock, directory, journals, put };
 }
 
-t.test('a node that has just started is sure of nothing before the fleet was listed', async (t) => {
+t.test('a status is uncertain until the fleet was listed', async (t) => {
   const zone = await JournalZone.open(t);
-  const { directory, journals, put } = started(zone);
+  const { directory, journals, put } = newGateway(zone);
   t.equal(await journals.entryStatusInAllZones('job'), 'unsure');
   for (const place of zone.places) put(`${REPLICA_PREFIX}${place.node}`, JSON.stringify(place));
   t.equal(await journals.entryStatusInAllZones('job'), 'unsure');
@@ -34,9 +30,9 @@
   t.equal(await journals.entryStatusInAllZones('job'), 'not-held');
 });
 
-t.test('nor while a zone has a journal of whose replicas it has never heard', async (t) => {
+t.test('a status is uncertain while no replica of a zone with a journal is known', async (t) => {
   const zone = await JournalZone.open(t);
-  const { directory, journals, put } = started(zone);
+  const { directory, journals, put } = newGateway(zone);
   put(`${JOURNAL_ZONE_PREFIX}${ZONE}`);
   directory.noteListed();
   t.equal(await journals.entryStatusInAllZones('job'), 'unsure');
@@ -45,10 +41,10 @@
 });
 
 t.test(
-  'a replica whose record lapsed is written to for a while, and asked for longer',
+  'a replica with an expired record is used for writes briefly, and for reads longer',
   async (t) => {
     const zone = await JournalZone.open(t);
-    const { clock, directory, put } = started(zone);
+    const { clock, directory, put } = newGateway(zone);
     for (const place of zone.places) put(`${REPLICA_PREFIX}${place.node}`, JSON.stringify(place));
     t.equal(directory.groupFor('job', ZONE)?.length, 3);
     const [first] = zone.places;
@@ -65,9 +61,9 @@
   },
 );
 
-t.test('a machine that is to be emptied gets no new jobs', async (t) => {
+t.test('the replica of a draining machine gets no new jobs', async (t) => {
   const zone = await JournalZone.open(t, 4);
-  const { directory, put } = started(zone);
+  const { directory, put } = newGateway(zone);
   for (const place of zone.places) put(`${REPLICA_PREFIX}${place.node}`, JSON.stringify(place));
   const [drained] = zone.places;
   directory.noteDraining(drained?.node ?? '');
--- a/test/shared-store/prefix-watcher.test.ts
+++ b/test/shared-store/prefix-watcher.test.ts
@@ -6,7 +6,7 @@
 interface Followed {
   readonly watcher: PrefixWatcher;
   readonly seen: StoreChange[];
-  /** Resolves once this many changes were seen. */
+  /** Resolves once the watcher has reported this many changes. */
   until(count: number): Promise<void>;
 }
 
@@ -31,10 +31,10 @@
   return { watcher, seen, until };
 }
 
-const summary = (changes: readonly StoreChange[]): (string | undefined)[][] =>
+const keysAndValues = (changes: readonly StoreChange[]): (string | undefined)[][] =>
   changes.map(({ key, value }) => [key, value]);
 
-t.test('lists what is there, then follows changes and deletions', async (t) => {
+t.test('lists existing keys, then follows changes and deletions', async (t) => {
   const store = new SharedStoreEmulator();
   store.write('a/1', 'one');
   store.write('b/1', 'other prefix');
@@ -45,14 +45,14 @@
   store.erase('a/1');
   await until(3);
   watcher.stop();
-  t.same(summary(seen), [
+  t.same(keysAndValues(seen), [
     ['a/1', 'one'],
     ['a/2', 'two'],
     ['a/1', undefined],
   ]);
 });
 
-t.test('a deletion that happened in forgotten history is told', async (t) => {
+t.test('a deletion in compacted history is reported', async (t) => {
   const store = new SharedStoreEmulator();
   store.write('a/1', 'one');
   const { watcher, seen, until } = follow(store);
@@ -64,13 +64,13 @@
   store.setAvailability('up');
   await until(3);
   watcher.stop();
-  t.same(summary(seen.slice(1)), [
+  t.same(keysAndValues(seen.slice(1)), [
     ['a/1', undefined],
     ['a/2', 'two'],
   ]);
 });
 
-t.test('a call that a silent store never answers is given up by restart', async (t) => {
+t.test('restart aborts a call that the store never answers', async (t) => {
   const store = new SharedStoreEmulator();
   const real = store.watch.bind(store);
   let isFirst = true;
@@ -97,7 +97,7 @@
   t.equal(seen.at(-1)?.value, 'two');
 });
 
-t.test('a lost store is told once, and its return', async (t) => {
+t.test('the loss and the return of the store are reported once each', async (t) => {
   const store = new SharedStoreEmulator();
   const { watcher, until } = follow(store);
   const health: string[] = [];
@@ -113,8 +113,8 @@
   t.same(health, ['lost', 'regained']);
 });
 
-/** A store whose watches were cut and hear nothing yet, with one change that they did not tell. */
-async function cutWhileDeaf(store: SharedStoreEmulator): Promise<void> {
+/** Makes one change that the watches don't report, and then interrupts the connection briefly. */
+async function interruptWatches(store: SharedStoreEmulator): Promise<void> {
   store.deafenWatches();
   store.write('a/1', 'unheard');
   store.setAvailability('refusing');
@@ -122,25 +122,25 @@
   store.setAvailability('up');
 }
 
-/** A follower of a store that was cut while its watches were deaf, after it found the change. */
-async function followedThroughCut(): Promise<Followed & { readonly store: SharedStoreEmulator }> {
+/** A watcher that has found a change that an interrupted watch did not report. */
+async function followThroughOutage(): Promise<Followed & { readonly store: SharedStoreEmulator }> {
   const store = new SharedStoreEmulator();
   store.write('a/1', 'one');
   const followed = follow(store);
   await followed.until(1);
-  await cutWhileDeaf(store);
+  await interruptWatches(store);
   await followed.until(2);
   return { ...followed, store };
 }
 
-t.test('a change that a cut watch did not tell is found by a list', async (t) => {
-  const { watcher, seen } = await followedThroughCut();
+t.test('a list finds a change that an interrupted watch did not report', async (t) => {
+  const { watcher, seen } = await followThroughOutage();
   watcher.stop();
   t.equal(seen.at(-1)?.value, 'unheard');
 });
 
-t.test('a change made while new watches are still deaf is found by a second list', async (t) => {
-  const { watcher, seen, until, store } = await followedThroughCut();
+t.test('a second list finds a change that the new watches do not report yet', async (t) => {
+  const { watcher, seen, until, store } = await followThroughOutage();
   const listsBefore = store.calls.get('range') ?? 0;
   store.write('a/2', 'later');
   const startedAt = performance.now();
@@ -149,10 +149,10 @@
   t.equal(seen.at(-1)?.value, 'later');
   t.ok(performance.now() - startedAt < 2_000);
   const lists = (store.calls.get('range') ?? 0) - listsBefore;
-  t.ok(lists <= 2, `${lists} lists, where the refused ones of the cut do not count`);
+  t.ok(lists <= 2, `${lists} lists, not counting those refused during the outage`);
 });
 
-t.test('a list that is older than what is known takes nothing back', async (t) => {
+t.test('a list older than the known revisions reverts nothing', async (t) => {
   const store = new SharedStoreEmulator();
   store.write('a/1', 'one');
   store.write('a/gone', 'old');
@@ -174,13 +174,13 @@
   store.write('a/3', 'three');
   await until(5);
   watcher.stop();
-  t.same(summary(seen.slice(4)), [['a/3', 'three']]);
+  t.same(keysAndValues(seen.slice(4)), [['a/3', 'three']]);
 });
 
 t.test('pauses after failed calls double, up to a limit', async (t) => {
   const store = new SharedStoreEmulator();
   store.setAvailability('refusing');
-  const options = { store, prefix: 'a/', retryPause: 10, longestRetryPause: 80 };
+  const options = { store, prefix: 'a/', retryPause: 10, maxRetryPause: 80 };
   const watcher = new PrefixWatcher(options);
   void watcher.run();
   await new Promise((resolve) => setTimeout(resolve, 600));
