--- a/src/singleton-tasks/cloud-call-backoff.ts
+++ b/src/singleton-tasks/cloud-call-backoff.ts
@@ -1,31 +1,27 @@
-/** When a call to the cloud interface is made again: pauses that double, with jitter. */
+/** Exponential backoff with jitter for calls to the cloud interface. */
 import type { Milliseconds } from '../core/units.js';
 
-/** Pause after the first call that failed, and the longest one. */
-const FIRST_PAUSE: Milliseconds = 300;
-const LONGEST_PAUSE: Milliseconds = 2_000;
+const INITIAL_PAUSE: Milliseconds = 300;
+const MAX_PAUSE: Milliseconds = 2_000;
 
-/** Share of a pause that is drawn at random, so that duties do not repeat their calls together. */
+/** Randomized share of a pause, so that tasks do not retry simultaneously. */
 const JITTER_SHARE = 0.3;
 
-/** The pauses of one matter. */
+/** Backoff state of one task. */
 export class CloudCallBackoff {
   private failures = 0;
   private notBefore: Milliseconds = 0;
 
-  /** Whether it is time for a call. */
   isDue(now: Milliseconds): boolean {
     return now >= this.notBefore;
   }
 
-  /** A call failed. */
   noteFailure(now: Milliseconds): void {
-    const pause = Math.min(FIRST_PAUSE * 2 ** this.failures, LONGEST_PAUSE);
+    const pause = Math.min(INITIAL_PAUSE * 2 ** this.failures, MAX_PAUSE);
     this.failures += 1;
     this.notBefore = now + pause * (1 - JITTER_SHARE * Math.random());
   }
 
-  /** A call succeeded. */
   noteSuccess(): void {
     this.failures = 0;
     this.notBefore = 0;
--- a/src/singleton-tasks/cloud-port.ts
+++ b/src/singleton-tasks/cloud-port.ts
@@ -1,49 +1,49 @@
 /**
- * The port to the operator's cloud interface: calls that are the duty of one node at a time, each
- * under that node's fencing token. An adapter implements it. Nothing can be read back there.
+ * Port to the operator's cloud interface. One node at a time calls it, under its fencing token; the
+ * interface accepts writes only.
  */
 import type { NodeId, ZoneName } from '../core/identity.js';
 import type { Revision } from '../core/units.js';
 import type { ServiceName } from '../serving/traffic-configuration.js';
 import type { TenantName } from '../tenants/tenant.js';
 
-/** Who makes a call: the node that holds the duty, and the token that rises with each holder. */
+/** The node that makes a call, and its fencing token, which rises with each holder. */
 export interface FencedHolder {
   readonly holder: NodeId;
   readonly fencingToken: Revision;
 }
 
-/** Requests that workers began to run in one window of the time of day. */
+/** Requests that workers started in one window of the time of day. */
 export interface UsageReport {
-  /** Window `k` begins `k` times the length of a window after the start of 1970. */
+  /** Number of whole windows between the Unix epoch and the start of this one. */
   readonly window: number;
   readonly counts: Readonly<Record<TenantName, number>>;
 }
 
-/** How many workers of a service are wanted in one zone. */
+/** Desired number of workers of a service in one zone. */
 export interface WorkerOrder {
   readonly service: ServiceName;
   readonly zone: ZoneName;
-  readonly wanted: number;
+  readonly desiredCount: number;
 }
 
-/** What came of a call. */
+/** Outcome of a call. */
 export type CloudCallOutcome =
   | 'accepted'
   /** Another holder acted under a higher token. */
   | 'superseded'
-  /** Nothing was done: too many calls at the moment, or the service is away. */
+  /** The call had no effect: rate limit or outage. */
   | 'throttled'
   | 'unavailable'
-  /** The call is wrong and would be refused again. */
+  /** The call is invalid, and a retry would fail too. */
   | 'refused'
-  /** It may have been carried out, or may be carried out seconds later. */
+  /** The call may have taken effect, or may do so seconds later. */
   | 'unknown';
 
-/** The cloud interface. No method rejects. */
+/** Calls to the cloud interface. No method rejects. */
 export interface CloudPort {
-  /** Reports usage; an exact repetition changes nothing. */
-  reportUsage(report: UsageReport, stamp: FencedHolder): Promise<CloudCallOutcome>;
-  /** Orders a number of workers. */
-  orderWorkers(order: WorkerOrder, stamp: FencedHolder): Promise<CloudCallOutcome>;
+  /** Idempotent: repeating the same report has no effect. */
+  reportUsage(report: UsageReport, caller: FencedHolder): Promise<CloudCallOutcome>;
+  /** Sets the desired number of workers. */
+  orderWorkers(order: WorkerOrder, caller: FencedHolder): Promise<CloudCallOutcome>;
 }
--- a/src/singleton-tasks/singleton-task-lock.ts
+++ b/src/singleton-tasks/singleton-task-lock.ts
@@ -1,13 +1,13 @@
-/** The lock under which one node at a time does the duties, as these see it. */
+/** Port to the lock that lets one node at a time perform the singleton tasks. */
 import type { Revision } from '../core/units.js';
 
-/** Gives tokens for calls and orders; the coordinator's lock implements it. */
+/** Issues fencing tokens; implemented by the coordinator's lock. */
 export interface SingletonTaskLock {
   /** The fencing token while this node may act; `undefined` otherwise. */
   fencingToken(): Revision | undefined;
-  /** The token for one call; {@link endOrder} is called once it is answered or given up. */
+  /** The token for one call; the caller calls {@link endOrder} after the answer or a timeout. */
   beginOrder(): Revision | undefined;
   endOrder(): void;
-  /** A token was refused for a lower one than was seen: it is not used again. */
+  /** Called after a token was rejected because a higher one is in use; it is not issued again. */
   noteRefused(token: Revision): void;
 }
--- a/src/singleton-tasks/usage-counts.ts
+++ b/src/singleton-tasks/usage-counts.ts
@@ -1,6 +1,6 @@
 /**
- * Counts of requests by window and tenant, from many nodes. Each node tells totals, so that a count
- * that arrives twice, or again at another node, changes nothing.
+ * Request counts by window and tenant, merged from many nodes. Nodes report totals, so duplicate and
+ * reordered reports have no effect.
  */
 import type { TenantName } from '../tenants/tenant.js';
 import type { WindowNumber } from './usage-windows.js';
@@ -8,23 +8,23 @@
 /** Requests by tenant. */
 export type TenantCounts = ReadonlyMap<TenantName, number>;
 
-/** Totals of one life of a node, by window. */
+/** Totals of one source, by window. */
 export type WindowCounts = ReadonlyMap<WindowNumber, TenantCounts>;
 
-/** One life of a node, or a record of one. */
+/** Identifies the counts of one node incarnation. */
 export type UsageSource = string;
 
-/** Totals by window of one life of a node. */
+/** Totals by window, with their source. */
 export interface SourceCounts {
   readonly source: UsageSource;
   readonly counts: WindowCounts;
 }
 
-/** Totals of many nodes. */
+/** Merged totals of many sources. */
 export class UsageCounts {
   private readonly bySource = new Map<UsageSource, Map<WindowNumber, TenantCounts>>();
 
-  /** Takes in the totals that a node told; of two totals of one window the larger is the later. */
+  /** Merges the totals of a source; of two totals of one window, the larger is the later one. */
   merge(source: UsageSource, counts: WindowCounts): void {
     const known = this.bySource.get(source) ?? new Map<WindowNumber, TenantCounts>();
     this.bySource.set(source, known);
@@ -33,7 +33,7 @@
     }
   }
 
-  /** Requests of all nodes in a window, by tenant in the order of names. */
+  /** Requests of all sources in a window, by tenant, sorted by name. */
   totals(window: WindowNumber): Readonly<Record<TenantName, number>> {
     const sums = new Map<TenantName, number>();
     for (const counts of this.bySource.values()) {
@@ -44,12 +44,12 @@
     return Object.fromEntries([...sums].sort(([a], [b]) => (a < b ? -1 : 1)));
   }
 
-  /** Nodes that told of requests in a window. */
+  /** Number of sources with requests in a window. */
   sourcesOf(window: WindowNumber): number {
     return [...this.bySource.values()].filter((counts) => counts.has(window)).length;
   }
 
-  /** All totals from a window on, by node. */
+  /** All totals from a window on, by source. */
   since(window: WindowNumber): SourceCounts[] {
     const recent = [...this.bySource].map(([source, counts]) => ({
       source,
@@ -58,7 +58,7 @@
     return recent.filter(({ counts }) => counts.size > 0);
   }
 
-  /** Forgets the windows before one. */
+  /** Removes the windows before one. */
   forgetBefore(window: WindowNumber): void {
     for (const [source, counts] of this.bySource) {
       for (const number of counts.keys()) if (number < window) counts.delete(number);
--- a/src/singleton-tasks/usage-meter.ts
+++ b/src/singleton-tasks/usage-meter.ts
@@ -1,26 +1,26 @@
-/** Counts the requests that workers began to run for this node, by window and tenant. */
+/** Counts the requests that workers started for this node, by window and tenant. */
 import type { Milliseconds } from '../core/units.js';
 import type { TenantName } from '../tenants/tenant.js';
 import type { WindowCounts } from './usage-counts.js';
 import type { UsageWindows, WindowNumber } from './usage-windows.js';
 
-/** Counts of one life of a node. */
+/** Counts of this node's incarnation. */
 export class UsageMeter {
   private readonly counts = new Map<WindowNumber, Map<TenantName, number>>();
   private changes = 0;
 
-  /** The counts of that many windows are kept, the open one among them. */
+  /** `retainedWindows` includes the open window. */
   constructor(
     private readonly windows: UsageWindows,
-    private readonly keptWindows: number,
+    private readonly retainedWindows: number,
   ) {}
 
-  /** Rises with each count, so that a sender sees whether it has told the newest. */
+  /** Rises with each count, so that a sender can detect unsent counts. */
   get revision(): number {
     return this.changes;
   }
 
-  /** A worker began to run a request at a steady time. */
+  /** Counts a request that a worker started at a steady time. */
   noteBegun(tenant: TenantName, steadyTime: Milliseconds): void {
     const window = this.windows.windowAt(steadyTime);
     const totals = this.counts.get(window) ?? this.open(window);
@@ -28,7 +28,7 @@
     this.changes += 1;
   }
 
-  /** Totals by window, of the windows that are not forgotten. */
+  /** A copy of the totals of the retained windows. */
   totals(): WindowCounts {
     return new Map([...this.counts].map(([window, totals]) => [window, new Map(totals)]));
   }
@@ -36,7 +36,7 @@
   private open(window: WindowNumber): Map<TenantName, number> {
     const totals = new Map<TenantName, number>();
     this.counts.set(window, totals);
-    const oldest = window - this.keptWindows + 1;
+    const oldest = window - this.retainedWindows + 1;
     for (const number of this.counts.keys()) if (number < oldest) this.counts.delete(number);
     return totals;
   }
--- a/src/singleton-tasks/usage-records.ts
+++ b/src/singleton-tasks/usage-records.ts
@@ -1,4 +1,4 @@
-/** What is kept of usage in the shared store: reports as they are sent, and counts not reported yet. */
+/** Usage records in the shared store: final reports, and counts that are not reported yet. */
 import * as z from 'zod';
 import type { SharedStore, StoreItem } from '../shared-store/shared-store.js';
 import { ABSENT } from '../shared-store/shared-store.js';
@@ -12,7 +12,7 @@
 
 const REPORT = z.object({ window: z.number(), counts: z.record(z.string(), z.number()) });
 
-/** Counts by source and window, as pairs. */
+/** Counts by source and window; maps are encoded as pairs. */
 const COUNTS_RECORD = z.array(
   z.object({
     source: z.string(),
@@ -20,30 +20,30 @@
   }),
 );
 
-/** All that is kept. */
-export interface KeptUsage {
+/** All usage records of the requested windows. */
+export interface StoredUsage {
   readonly reports: ReadonlyMap<WindowNumber, UsageReport>;
-  /** A source may stand in several records. */
+  /** May contain a source several times. */
   readonly counts: readonly SourceCounts[];
-  /** Keys of records that are older than asked for. */
+  /** Keys of records that contain older windows only. */
   readonly outdated: readonly string[];
 }
 
-/** What came of keeping a report. */
-export type KeepOutcome =
+/** Outcome of storing a report; carries the report that the store holds. */
+export type StoreReportOutcome =
   | { readonly kind: 'kept'; readonly report: UsageReport }
   | { readonly kind: 'unavailable' };
 
-/** Reads and writes the records of usage. */
+/** Reads and writes usage records. */
 export class UsageRecords {
   constructor(
     private readonly store: SharedStore,
-    /** Told of a record that can't be read. */
-    private readonly noteUnreadable: (key: string) => void,
+    /** Called with the key of a record that can't be parsed. */
+    private readonly onUnreadable: (key: string) => void,
   ) {}
 
-  /** Reads what is kept of the windows from `oldest` on; `undefined` where the store is away. */
-  async read(oldest: WindowNumber): Promise<KeptUsage | undefined> {
+  /** Reads the records of the windows from `oldest` on; `undefined` if the store is unavailable. */
+  async read(oldest: WindowNumber): Promise<StoredUsage | undefined> {
     const outcome = await this.store.range(PREFIX);
     if (outcome.kind === 'failed') return undefined;
     const reports = new Map<WindowNumber, UsageReport>();
@@ -51,18 +51,18 @@
     const outdated: string[] = [];
     for (const item of outcome.items) {
       const isRecent = item.key.startsWith(REPORTS)
-        ? this.takeReport(item, oldest, reports)
-        : this.takeCounts(item, oldest, counts);
+        ? this.addReport(item, oldest, reports)
+        : this.addCounts(item, oldest, counts);
       if (!isRecent) outdated.push(item.key);
     }
     return { reports, counts, outdated };
   }
 
   /**
-   * Keeps the report of a window before it is sent for the first time. Where one is kept already,
-   * that one is given back: no two different reports of a window ever leave the fleet.
+   * Stores the report of a window before it is first sent. If the store already holds one, returns
+   * that one, so that no two different reports of a window are ever sent.
    */
-  async keep(report: UsageReport, outdated: readonly string[]): Promise<KeepOutcome> {
+  async storeReport(report: UsageReport, outdated: readonly string[]): Promise<StoreReportOutcome> {
     const key = `${REPORTS}${report.window}`;
     const put = [{ key, value: JSON.stringify(report) }];
     const expected = [{ key, revision: ABSENT }];
@@ -70,35 +70,35 @@
     if (outcome.kind === 'committed') return { kind: 'kept', report };
     if (outcome.kind !== 'conflict') return { kind: 'unavailable' };
     const read = await this.store.get(key);
-    const kept =
+    const stored =
       read.kind === 'item' && read.item !== undefined ? this.parse(read.item) : undefined;
-    return kept === undefined ? { kind: 'unavailable' } : { kind: 'kept', report: kept };
+    return stored === undefined ? { kind: 'unavailable' } : { kind: 'kept', report: stored };
   }
 
-  /** Keeps counts that are not reported yet, under the name of who keeps them; tells whether it did. */
-  async keepCounts(keeper: string, counts: readonly SourceCounts[]): Promise<boolean> {
+  /** Stores unreported counts under the name of their writer; returns whether it succeeded. */
+  async storeCounts(writer: string, counts: readonly SourceCounts[]): Promise<boolean> {
     const record = counts.map(({ source, counts: windows }) => ({
       source,
       windows: [...windows].map(([window, totals]) => [window, [...totals]]),
     }));
-    const put = [{ key: `${COUNTS}${keeper}`, value: JSON.stringify(record) }];
+    const put = [{ key: `${COUNTS}${writer}`, value: JSON.stringify(record) }];
     return (await this.store.commit({ expected: [], put })).kind === 'committed';
   }
 
-  private takeReport(
+  private addReport(
     item: StoreItem,
     oldest: WindowNumber,
     reports: Map<WindowNumber, UsageReport>,
   ): boolean {
     const report = this.parse(item);
-    // One that can't be read is left alone: another text must not take its place.
+    // A report that can't be parsed is not removed, because no other may replace it.
     if (report === undefined) return true;
     if (report.window < oldest) return false;
     reports.set(report.window, report);
     return true;
   }
 
-  private takeCounts(item: StoreItem, oldest: WindowNumber, counts: SourceCounts[]): boolean {
+  private addCounts(item: StoreItem, oldest: WindowNumber, counts: SourceCounts[]): boolean {
     const record = this.decode(COUNTS_RECORD, item) ?? [];
     const recent = record.map(({ source, windows }) => ({
       source,
@@ -108,9 +108,9 @@
           .map(([window, totals]) => [window, new Map(totals)] as const),
       ),
     }));
-    const told = recent.filter((entry) => entry.counts.size > 0);
-    counts.push(...told);
-    return told.length > 0;
+    const nonEmpty = recent.filter((entry) => entry.counts.size > 0);
+    counts.push(...nonEmpty);
+    return nonEmpty.length > 0;
   }
 
   private parse(item: StoreItem): UsageReport | undefined {
@@ -125,11 +125,11 @@
     try {
       json = JSON.parse(value);
     } catch {
-      this.noteUnreadable(key);
+      this.onUnreadable(key);
       return undefined;
     }
     const parsed = schema.safeParse(json);
-    if (!parsed.success) this.noteUnreadable(key);
+    if (!parsed.success) this.onUnreadable(key);
     return parsed.data;
   }
 }
--- a/src/singleton-tasks/usage-reporter.ts
+++ b/src/singleton-tasks/usage-reporter.ts
@@ -1,8 +1,7 @@
 /**
- * Reports the usage of each window once it has ended and its counts had time to arrive. The report
- * is kept in the shared store before it is first sent; whoever holds the duty later sends just that
- * text, so that two different reports of one window never leave the fleet, however late a call is
- * carried out.
+ * Reports the usage of each window after it has ended and its counts had time to arrive. A report is
+ * stored before it is first sent, and later holders send the stored one, so that no two different
+ * reports of a window are ever sent.
  */
 import type { NodeId } from '../core/identity.js';
 import type { Milliseconds } from '../core/units.js';
@@ -17,21 +16,21 @@
 import type { UsageRecords } from './usage-records.js';
 import type { UsageWindows, WindowNumber } from './usage-windows.js';
 
-/** Share of the time until a report is due in which counts may still arrive. */
+/** Share of the time until a report is due that is left for counts to arrive. */
 const SETTLING_SHARE = 0.5;
 
-/** Reports are sent until they are this many times as late as they may be. */
-const LATENESS_LIMIT = 2;
+/** Reports are retried until this multiple of the time after which they are due. */
+const MAX_LATENESS_FACTOR = 2;
 
-/** Time between two records of the counts that are not reported yet. */
+/** Time between two checkpoints of unreported counts. */
 const CHECKPOINT_INTERVAL: Milliseconds = 2_000;
 
-/** Under which name the holder keeps counts that are not reported yet. */
-const CHECKPOINT_KEEPER = 'holder';
+/** Name under which the holder stores its checkpoints. */
+const CHECKPOINT_WRITER = 'holder';
 
-/** Windows whose reports may still be sent, beside the open one. */
+/** Number of windows whose reports may still be sent, besides the open one. */
 export function retainedWindowCount(dueAfter: Milliseconds, length: Milliseconds): number {
-  return Math.ceil((LATENESS_LIMIT * dueAfter) / length);
+  return Math.ceil((MAX_LATENESS_FACTOR * dueAfter) / length);
 }
 
 /** Options of {@link UsageReporter}. */
@@ -44,20 +43,20 @@
   readonly meter: UsageMeter;
   readonly source: UsageSource;
   readonly node: NodeId;
-  /** Time after the end of a window at which its report is due. */
+  /** Time from the end of a window until its report is due. */
   readonly dueAfter: Milliseconds;
-  /** The first window that can have requests; of a fleet that has run before, any. */
+  /** The first window that can have requests; 0 for a fleet that has run before. */
   readonly firstWindow: WindowNumber;
   readonly clock: Clock;
   readonly log: DecisionLog;
   readonly metrics: FleetMetrics;
 }
 
-/** Reports windows while this node holds the duty. */
+/** Sends usage reports while this node holds the lock. */
 export class UsageReporter {
-  /** Reports as they are kept, by window. */
-  private readonly kept = new Map<WindowNumber, UsageReport>();
-  private readonly done = new Set<WindowNumber>();
+  /** Reports that the shared store holds, by window. */
+  private readonly stored = new Map<WindowNumber, UsageReport>();
+  private readonly settled = new Set<WindowNumber>();
   private readonly retry = new CloudCallBackoff();
   private isBusy = false;
   private nextCheckpointAt: Milliseconds = 0;
@@ -66,12 +65,12 @@
 
   constructor(private readonly options: UsageReporterOptions) {}
 
-  /** The newest window that was reported from here. */
+  /** The window that this node reported last. */
   get lastWindow(): WindowNumber | undefined {
     return this.lastReported;
   }
 
-  /** Reports the oldest window that is due, and keeps the counts of the others. */
+  /** Reports the oldest window that is due, or else checkpoints the unreported counts. */
   tick(): void {
     const { lock, clock } = this.options;
     if (this.isBusy || lock.fencingToken() === undefined) return;
@@ -97,30 +96,33 @@
     this.forgetBefore(oldestWindow);
     for (let window = oldestWindow; window < windows.current; window += 1) {
       if (windows.timeSinceEnd(window) < SETTLING_SHARE * dueAfter) return undefined;
-      if (!this.done.has(window)) return window;
+      if (!this.settled.has(window)) return window;
     }
     return undefined;
   }
 
   private async report(window: WindowNumber): Promise<void> {
-    const report = this.kept.get(window) ?? (await this.keep(window));
+    const report = this.stored.get(window) ?? (await this.storeReport(window));
     if (report === undefined) return this.retry.noteFailure(this.options.clock.now());
     await this.send(report);
   }
 
-  /** Settles what the report of a window says. */
-  private async keep(window: WindowNumber): Promise<UsageReport | undefined> {
+  /** Returns the stored report of a window, and stores one if there is none. */
+  private async storeReport(window: WindowNumber): Promise<UsageReport | undefined> {
     const { records, gathered, meter, source } = this.options;
     const read = await records.read(this.oldestWindow);
     if (read === undefined) return undefined;
-    for (const [number, report] of read.reports) this.kept.set(number, report);
-    const known = this.kept.get(window);
+    for (const [number, report] of read.reports) this.stored.set(number, report);
+    const known = this.stored.get(window);
     if (known !== undefined) return known;
-    for (const told of read.counts) gathered.merge(told.source, told.counts);
+    for (const counted of read.counts) gathered.merge(counted.source, counted.counts);
     gathered.merge(source, meter.totals());
-    const outcome = await records.keep({ window, counts: gathered.totals(window) }, read.outdated);
+    const outcome = await records.storeReport(
+      { window, counts: gathered.totals(window) },
+      read.outdated,
+    );
     if (outcome.kind !== 'kept') return undefined;
-    this.kept.set(window, outcome.report);
+    this.stored.set(window, outcome.report);
     return outcome.report;
   }
 
@@ -128,8 +130,8 @@
     const { port, lock, node, clock, metrics, log, windows, gathered } = this.options;
     const fencingToken = lock.beginOrder();
     if (fencingToken === undefined) return;
-    const stamp = { holder: node, fencingToken };
-    const outcome = await port.reportUsage(report, stamp).finally(() => lock.endOrder());
+    const caller = { holder: node, fencingToken };
+    const outcome = await port.reportUsage(report, caller).finally(() => lock.endOrder());
     metrics.count('duty_calls', { duty: 'usage', outcome });
     const { window, counts } = report;
     const requests = Object.values(counts).reduce((sum, count) => sum + count, 0);
@@ -138,13 +140,13 @@
     log.state('usage-reported', { ...details, sources: gathered.sourcesOf(window) });
     if (outcome === 'superseded') lock.noteRefused(fencingToken);
     if (outcome === 'accepted' || outcome === 'refused') {
-      this.done.add(window);
+      this.settled.add(window);
       this.lastReported = window;
       this.retry.noteSuccess();
     } else this.retry.noteFailure(clock.now());
   }
 
-  /** Keeps the counts of open windows, for the holder after this one. */
+  /** Stores the unreported counts for the next holder. */
   private async checkpoint(): Promise<void> {
     const { records, gathered, meter, source, clock } = this.options;
     this.nextCheckpointAt = clock.now() + CHECKPOINT_INTERVAL;
@@ -152,18 +154,18 @@
     const counts = gathered.since(this.oldestWindow);
     const requests = requestsIn(counts);
     if (requests === this.requestsAtCheckpoint) return;
-    if (await records.keepCounts(CHECKPOINT_KEEPER, counts)) this.requestsAtCheckpoint = requests;
+    if (await records.storeCounts(CHECKPOINT_WRITER, counts)) this.requestsAtCheckpoint = requests;
   }
 
   private forgetBefore(window: WindowNumber): void {
     const { gathered, log, windows } = this.options;
     gathered.forgetBefore(window);
-    for (const number of this.done) if (number < window) this.done.delete(number);
-    for (const number of this.kept.keys()) {
+    for (const number of this.settled) if (number < window) this.settled.delete(number);
+    for (const number of this.stored.keys()) {
       if (number >= window) continue;
-      this.kept.delete(number);
+      this.stored.delete(number);
       const ageMs = Math.round(windows.timeSinceEnd(number));
-      if (!this.done.has(number)) log.state('usage-report-forgotten', { window: number, ageMs });
+      if (!this.settled.has(number)) log.state('usage-report-forgotten', { window: number, ageMs });
     }
   }
 }
--- a/src/singleton-tasks/usage-sender.ts
+++ b/src/singleton-tasks/usage-sender.ts
@@ -1,7 +1,6 @@
 /**
- * Tells the holder of the duties what workers began to run for this node. Totals are told, not
- * differences, so that a message that is lost or comes twice changes nothing; a new holder is told
- * everything that is not forgotten.
+ * Sends this node's request counts to the holder of the singleton tasks. Messages carry totals, so
+ * lost and duplicate ones do no harm; a new holder receives all retained counts.
  */
 import type { NodeId } from '../core/identity.js';
 import { type Milliseconds, type Revision, SECOND } from '../core/units.js';
@@ -11,22 +10,18 @@
 import type { UsageMeter } from './usage-meter.js';
 import type { UsageRecords } from './usage-records.js';
 
-/** Time between two looks whether there is something to tell. */
-const LOOK_INTERVAL: Milliseconds = 250;
+const POLL_INTERVAL: Milliseconds = 250;
 
-/** Least time between two messages: what a node that is killed has not told yet is lost. */
-const LEAST_PAUSE: Milliseconds = SECOND;
+/** Bounds the counts that are lost if the node is killed. */
+const MIN_SEND_INTERVAL: Milliseconds = SECOND;
 
-/**
- * Messages that the holder takes in a second from all nodes together: in large fleets every node waits
- * longer between two messages. Chosen, not measured: a fleet of 100 nodes still tells each second.
- */
-const MESSAGES_PER_SECOND = 100;
+/** Limit for all nodes together; in larger fleets each node sends less often. */
+const MAX_MESSAGES_PER_SECOND = 100;
 
-/** Longest time between two messages, so that a window's counts are told before it is reported. */
-const LONGEST_PAUSE: Milliseconds = 2_500;
+/** Ensures that the counts of a window arrive before it is reported. */
+const MAX_SEND_INTERVAL: Milliseconds = 2_500;
 
-/** Holder of the duties, as this node knows. */
+/** The holder of the singleton tasks, as far as this node knows. */
 export interface SingletonTaskHolder {
   readonly holder: NodeId | undefined;
   /** Changes with each holder. */
@@ -36,77 +31,76 @@
 /** Options of {@link UsageSender}. */
 export interface UsageSenderOptions {
   readonly meter: UsageMeter;
-  /** Counts that other nodes told this one, in case that it holds the duties. */
+  /** Counts that this node received from others as the holder of the singleton tasks. */
   readonly gathered: UsageCounts;
   readonly records: UsageRecords;
-  /** Name of this life of the node. */
+  /** Incarnation of this node. */
   readonly source: UsageSource;
   readonly node: NodeId;
   readonly taskHolder: () => SingletonTaskHolder;
   readonly liveNodes: () => number;
-  /** Tells another node; whether it took it. */
+  /** Sends counts to another node; resolves with whether that node accepted them. */
   readonly tell: (holder: NodeId, source: UsageSource, counts: WindowCounts) => Promise<boolean>;
   readonly clock: Clock;
   readonly log: DecisionLog;
 }
 
-/** Tells counts until it is finished. */
+/** Sends counts from {@link start} to {@link finish}. */
 export class UsageSender {
   private timer: NodeJS.Timeout | undefined;
   private nextAt: Milliseconds = 0;
-  private isTelling = false;
-  /** What the last message held, and to whom it went. */
-  private told = { revision: 0, term: -1 };
+  private isSending = false;
+  /** Meter revision and holder's term of the last accepted message. */
+  private lastSent = { revision: 0, term: -1 };
 
   constructor(private readonly options: UsageSenderOptions) {}
 
-  /** Begins to tell. */
   start(): void {
-    this.timer = setInterval(() => void this.look(), LOOK_INTERVAL);
+    this.timer = setInterval(() => void this.poll(), POLL_INTERVAL);
   }
 
   /**
-   * Ends: what the holder has not been told is kept in the shared store, and if this node is the
-   * holder, what it was told itself.
+   * Stops, and stores the counts that the holder has not received; if this node is the holder, also
+   * those that it received.
    */
   async finish(): Promise<void> {
     clearInterval(this.timer);
-    const { meter, gathered, records, source, node, taskHolder: duties, log } = this.options;
-    if (duties().holder !== node) {
-      if (this.told.revision === meter.revision) return;
-      if (await this.tellHolder()) return;
+    const { meter, gathered, records, source, node, taskHolder, log } = this.options;
+    if (taskHolder().holder !== node) {
+      if (this.lastSent.revision === meter.revision) return;
+      if (await this.sendToHolder()) return;
     }
     gathered.merge(source, meter.totals());
-    const isKept = await records.keepCounts(source, gathered.since(0));
+    const isKept = await records.storeCounts(source, gathered.since(0));
     log.state('usage-counts-left', { isKept });
   }
 
-  /** Tells the holder what is new, if there is something and it is time. */
-  async look(): Promise<void> {
-    const { meter, clock, taskHolder: duties } = this.options;
-    const { holder, term } = duties();
-    const isNew = this.told.revision !== meter.revision || this.told.term !== term;
-    if (holder === undefined || !isNew || this.isTelling || clock.now() < this.nextAt) return;
-    this.nextAt = clock.now() + this.pause();
-    await this.tellHolder();
+  /** Sends new counts to the holder, at most once per send interval. */
+  async poll(): Promise<void> {
+    const { meter, clock, taskHolder } = this.options;
+    const { holder, term } = taskHolder();
+    const isNew = this.lastSent.revision !== meter.revision || this.lastSent.term !== term;
+    if (holder === undefined || !isNew || this.isSending || clock.now() < this.nextAt) return;
+    this.nextAt = clock.now() + this.sendInterval();
+    await this.sendToHolder();
   }
 
-  private async tellHolder(): Promise<boolean> {
-    const { meter, gathered, source, node, taskHolder: duties, tell } = this.options;
-    const { holder, term } = duties();
+  private async sendToHolder(): Promise<boolean> {
+    const { meter, gathered, source, node, taskHolder, tell } = this.options;
+    const { holder, term } = taskHolder();
     const { revision } = meter;
     if (holder === undefined) return false;
-    this.isTelling = true;
+    this.isSending = true;
     const counts = meter.totals();
     if (holder === node) gathered.merge(source, counts);
     const isTaken = holder === node || counts.size === 0 || (await tell(holder, source, counts));
-    this.isTelling = false;
-    if (isTaken) this.told = { revision, term };
+    this.isSending = false;
+    if (isTaken) this.lastSent = { revision, term };
     return isTaken;
   }
 
-  private pause(): Milliseconds {
-    const shared = (this.options.liveNodes() * SECOND) / MESSAGES_PER_SECOND;
-    return Math.min(LONGEST_PAUSE, Math.max(LEAST_PAUSE, shared));
+  private sendInterval(): Milliseconds {
+    const shared = (this.options.liveNodes() * SECOND) / MAX_MESSAGES_PER_SECOND;
+    return Math.min(MAX_SEND_INTERVAL, Math.max(MIN_SEND_INTERVAL, shared));
   }
 }
--- a/src/singleton-tasks/usage-windows.ts
+++ b/src/singleton-tasks/usage-windows.ts
@@ -1,57 +1,57 @@
 /**
- * Numbers the windows of usage by true time. Clocks of machines may jump by seconds for a while, so
- * the time of day is anchored to the steady clock: a small difference is followed, a jump only once
- * it has lasted.
+ * Numbers the usage windows by the time of day. The time of day may jump for a while, so it is derived
+ * from the steady clock and an offset: small drifts are followed at once, jumps only after they have
+ * persisted.
  */
 import type { Milliseconds } from '../core/units.js';
 import type { Clock } from '../serving/clock.js';
 
-/** Number of a window since 1970. */
+/** Number of whole windows since the Unix epoch. */
 export type WindowNumber = number;
 
-/** A difference beyond this since the last look is a jump; clocks of machines differ by less. */
-const LARGEST_DRIFT: Milliseconds = 250;
+/** A larger change of the offset counts as a jump. */
+const MAX_CLOCK_DRIFT: Milliseconds = 250;
 
-/** A jump that has lasted this long is taken for the correction of a clock that was wrong. */
-const JUMP_TRUST_TIME: Milliseconds = 60_000;
+/** A jump that persists this long counts as a correction of the clock. */
+const JUMP_CONFIRMATION_TIME: Milliseconds = 60_000;
 
-/** Finds the window of a moment. */
+/** Maps times to window numbers. */
 export class UsageWindows {
-  /** Time of day less steady time. */
+  /** Time of day minus steady time. */
   private offset: Milliseconds;
   private jumpedAt: Milliseconds | undefined;
 
   constructor(
     private readonly clock: Clock,
-    /** Length of a window. */
     readonly length: Milliseconds,
   ) {
     this.offset = clock.wallTime() - clock.now();
   }
 
-  /** The window that a steady time lies in. */
+  /** The window that contains a steady time. */
   windowAt(steadyTime: Milliseconds): WindowNumber {
-    this.follow();
+    this.updateOffset();
     return Math.floor((steadyTime + this.offset) / this.length);
   }
 
-  /** The window that is open now. */
+  /** The open window. */
   get current(): WindowNumber {
     return this.windowAt(this.clock.now());
   }
 
   /** Time since a window ended; negative while it is open. */
   timeSinceEnd(window: WindowNumber): Milliseconds {
-    this.follow();
+    this.updateOffset();
     return this.clock.now() + this.offset - (window + 1) * this.length;
   }
 
-  private follow(): void {
+  private updateOffset(): void {
     const now = this.clock.now();
     const offset = this.clock.wallTime() - now;
-    const isJump = Math.abs(offset - this.offset) > LARGEST_DRIFT;
+    const isJump = Math.abs(offset - this.offset) > MAX_CLOCK_DRIFT;
     if (!isJump) this.jumpedAt = undefined;
     else this.jumpedAt ??= now;
-    if (this.jumpedAt === undefined || now - this.jumpedAt >= JUMP_TRUST_TIME) this.offset = offset;
+    if (this.jumpedAt === undefined || now - this.jumpedAt >= JUMP_CONFIRMATION_TIME)
+      this.offset = offset;
   }
 }
--- a/src/singleton-tasks/worker-scaler.ts
+++ b/src/singleton-tasks/worker-scaler.ts
@@ -1,7 +1,6 @@
 /**
- * Orders how many workers a service has in each zone, where the operator's configuration lets it be
- * chosen. A policy says how many; this module sends the orders, once for each change, and again
- * where a call was lost or the workers do not come.
+ * Orders the number of workers that a scaled service has in each zone. A policy sets the number; the
+ * scaler sends one order per change, and repeats it if the call fails or the workers do not arrive.
  */
 import type { NodeId, ZoneName } from '../core/identity.js';
 import type { Milliseconds } from '../core/units.js';
@@ -14,13 +13,16 @@
 import type { CloudPort, WorkerOrder } from './cloud-port.js';
 import type { SingletonTaskLock } from './singleton-task-lock.js';
 
-/** Time beyond the start of a worker in which ordered workers have to show. */
+/** Time beyond the boot time of a worker before missing workers are ordered again. */
 const ARRIVAL_MARGIN: Milliseconds = 6_000;
 
-/** How many workers a service is to have in each zone. */
+/** Decides the number of workers of a service in each zone. */
 export interface ScalingPolicy {
-  /** `present` tells how many are registered in a zone; zones that are left out are not ordered. */
-  wanted(limits: ScalingLimits, present: (zone: ZoneName) => number): ReadonlyMap<ZoneName, number>;
+  /** `present` returns the registered workers of a zone; zones missing from the result are skipped. */
+  desiredWorkers(
+    limits: ScalingLimits,
+    present: (zone: ZoneName) => number,
+  ): ReadonlyMap<ZoneName, number>;
 }
 
 /** Options of {@link WorkerScaler}. */
@@ -30,10 +32,7 @@
   readonly policy: ScalingPolicy;
   readonly services: () => readonly Service[];
   readonly registry: WorkerRegistry;
-  /**
-   * Whether the workers of a zone are sent no work for the time being: none is ordered there until they
-   * are again. @default none is evacuated
-   */
+  /** Whether a zone is evacuated; no workers are ordered there meanwhile. @default no zone is */
   readonly isEvacuated?: (zone: ZoneName) => boolean;
   readonly node: NodeId;
   readonly clock: Clock;
@@ -41,14 +40,14 @@
   readonly metrics: FleetMetrics;
 }
 
-/** What was ordered of one service in one zone. */
+/** The last order for one service in one zone. */
 interface PlacedOrder {
-  readonly wanted: number;
-  /** Steady time of the accepted order; `undefined` until one is. */
+  readonly desiredCount: number;
+  /** Steady time at which the order was accepted or rejected as invalid; `undefined` before. */
   acceptedAt: Milliseconds | undefined;
 }
 
-/** Sends orders while this node holds the duty. */
+/** Sends orders while this node holds the lock. */
 export class WorkerScaler {
   private readonly placed = new Map<string, PlacedOrder>();
   private readonly retry = new CloudCallBackoff();
@@ -56,12 +55,12 @@
 
   constructor(private readonly options: WorkerScalerOptions) {}
 
-  /** Sends one order, if one is due. */
+  /** Sends at most one order. */
   tick(): void {
     const { lock, clock } = this.options;
     if (this.isOrdering || !this.retry.isDue(clock.now())) return;
     if (lock.fencingToken() === undefined) {
-      // Whoever acts meanwhile may order something else.
+      // Another holder may order something else meanwhile.
       this.placed.clear();
       return;
     }
@@ -79,21 +78,26 @@
       const { scaling } = service;
       if (scaling === undefined) continue;
       const present = (zone: ZoneName): number => this.present(service.name, zone);
-      for (const [zone, wanted] of policy.wanted(scaling, present)) {
-        if (!isEvacuated(zone) && this.isDue(service.name, zone, wanted, scaling)) {
-          return { service: service.name, zone, wanted };
+      for (const [zone, desiredCount] of policy.desiredWorkers(scaling, present)) {
+        if (!isEvacuated(zone) && this.isDue(service.name, zone, desiredCount, scaling)) {
+          return { service: service.name, zone, desiredCount };
         }
       }
     }
     return undefined;
   }
 
-  private isDue(service: string, zone: ZoneName, wanted: number, limits: ScalingLimits): boolean {
+  private isDue(
+    service: string,
+    zone: ZoneName,
+    desiredCount: number,
+    limits: ScalingLimits,
+  ): boolean {
     const placed = this.placed.get(keyOf(service, zone));
-    if (placed?.wanted !== wanted || placed.acceptedAt === undefined) return true;
+    if (placed?.desiredCount !== desiredCount || placed.acceptedAt === undefined) return true;
     const arrivalTime = limits.bootTime + ARRIVAL_MARGIN;
     if (this.options.clock.now() - placed.acceptedAt < arrivalTime) return false;
-    return this.present(service, zone) < wanted;
+    return this.present(service, zone) < desiredCount;
   }
 
   private present(service: string, zone: ZoneName): number {
@@ -105,17 +109,24 @@
     const { port, lock, node, clock, log, metrics } = this.options;
     const fencingToken = lock.beginOrder();
     if (fencingToken === undefined) return;
-    const { service, zone, wanted } = order;
+    const { service, zone, desiredCount } = order;
     const present = this.present(service, zone);
-    const stamp = { holder: node, fencingToken };
-    const outcome = await port.orderWorkers(order, stamp).finally(() => lock.endOrder());
+    const caller = { holder: node, fencingToken };
+    const outcome = await port.orderWorkers(order, caller).finally(() => lock.endOrder());
     metrics.count('duty_calls', { duty: 'scaling', outcome });
-    const details = { service, workerZone: zone, wanted, present, fencingToken, outcome };
+    const details = {
+      service,
+      workerZone: zone,
+      wanted: desiredCount,
+      present,
+      fencingToken,
+      outcome,
+    };
     log.state('workers-ordered', details);
     if (outcome === 'superseded') lock.noteRefused(fencingToken);
     const isSettled = outcome === 'accepted' || outcome === 'refused';
     const acceptedAt = isSettled ? clock.now() : undefined;
-    this.placed.set(keyOf(service, zone), { wanted, acceptedAt });
+    this.placed.set(keyOf(service, zone), { desiredCount, acceptedAt });
     if (isSettled) this.retry.noteSuccess();
     else this.retry.noteFailure(clock.now());
   }
--- a/test/platform-adapter/cloud-client.test.ts
+++ b/test/platform-adapter/cloud-client.test.ts
@@ -3,7 +3,7 @@
 import t from 'tap';
 import { CloudClient } from '../../platform/cloud-client.js';
 
-const STAMP = { holder: 'node-1', fencingToken: 12 };
+const HOLDER = { holder: 'node-1', fencingToken: 12 };
 
 interface Call {
   readonly path: string;
@@ -11,8 +11,8 @@
   readonly body: unknown;
 }
 
-/** A cloud interface that answers with the given statuses; 0 resets the connection. */
-async function standIn(
+/** Starts a cloud interface that answers with the given statuses; 0 resets the connection. */
+async function startCloud(
   test: Pick<typeof t, 'teardown'>,
   ...statuses: number[]
 ): Promise<{ readonly client: CloudClient; readonly calls: Call[] }> {
@@ -37,12 +37,12 @@
   return { client: new CloudClient(`127.0.0.1:${port}`), calls };
 }
 
-t.test('calls carry their holder and its token', async (t) => {
-  const { client, calls } = await standIn(t);
+t.test('calls carry the holder and its fencing token', async (t) => {
+  const { client, calls } = await startCloud(t);
   const report = { window: 353_445_120, counts: { north: 412 } };
-  t.equal(await client.reportUsage(report, STAMP), 'accepted');
-  const order = { service: 's', zone: 'z', wanted: 6 };
-  t.equal(await client.orderWorkers(order, STAMP), 'accepted');
+  t.equal(await client.reportUsage(report, HOLDER), 'accepted');
+  const order = { service: 's', zone: 'z', desiredCount: 6 };
+  t.equal(await client.orderWorkers(order, HOLDER), 'accepted');
   const headers = { 'x-wardwing-duty-holder': 'node-1', 'x-wardwing-fencing-token': '12' };
   t.match(calls, [
     { path: 'POST /usage', headers, body: report },
@@ -50,16 +50,16 @@
   ]);
 });
 
-t.test('statuses are told apart; what may still be carried out is unknown', async (t) => {
+t.test('statuses map to outcomes; a call that may still take effect is unknown', async (t) => {
   const statuses = [409, 429, 503, 400, 500, 0];
-  const { client } = await standIn(t, ...statuses);
+  const { client } = await startCloud(t, ...statuses);
   const outcomes: string[] = [];
   for (const _ of statuses)
-    outcomes.push(await client.reportUsage({ window: 1, counts: {} }, STAMP));
+    outcomes.push(await client.reportUsage({ window: 1, counts: {} }, HOLDER));
   t.same(outcomes, ['superseded', 'throttled', 'unavailable', 'refused', 'unknown', 'unknown']);
 });
 
-t.test('a call that nobody can have taken was not done', async (t) => {
+t.test('a refused connection means that the call had no effect', async (t) => {
   const client = new CloudClient('127.0.0.1:1');
-  t.equal(await client.reportUsage({ window: 1, counts: {} }, STAMP), 'unavailable');
+  t.equal(await client.reportUsage({ window: 1, counts: {} }, HOLDER), 'unavailable');
 });
--- a/test/singleton-tasks/scaling-policy.test.ts
+++ b/test/singleton-tasks/scaling-policy.test.ts
@@ -2,9 +2,9 @@
 import { MaxWorkersPolicy } from '../../src/singleton-tasks/scaling-policy.js';
 import { ManualClock } from '../jobs/job-fixtures.js';
 
-const limits = (most: number): Parameters<MaxWorkersPolicy['wanted']>[0] => ({
+const limits = (maximum: number): Parameters<MaxWorkersPolicy['desiredWorkers']>[0] => ({
   minimum: 1,
-  maximum: most,
+  maximum,
   bootTime: 4_000,
   zonePrices: new Map([
     ['a', 1],
@@ -12,10 +12,10 @@
   ]),
 });
 
-t.test('a small site gets as many workers as the operator allows, at once', async (t) => {
+t.test('a small site gets the maximum number of workers at once', async (t) => {
   const policy = new MaxWorkersPolicy(new ManualClock());
   t.same(
-    [...policy.wanted(limits(21), () => 0)],
+    [...policy.desiredWorkers(limits(21), () => 0)],
     [
       ['a', 21],
       ['b', 21],
@@ -24,13 +24,17 @@
 });
 
 t.test(
-  'no more are ordered than gateways can follow, and never fewer than there are',
+  'orders are limited to the workers that gateways can track, and never reduce a zone',
   async (t) => {
     const clock = new ManualClock();
     const policy = new MaxWorkersPolicy(clock);
     const present = (zone: string): number => (zone === 'a' ? 700 : 100);
-    t.same([...policy.wanted(limits(1_500), present)], [], 'not before they have registered');
+    t.same(
+      [...policy.desiredWorkers(limits(1_500), present)],
+      [],
+      'not before the existing workers have registered',
+    );
     clock.time += 10_000;
-    t.same([...policy.wanted(limits(1_500), present)], [['b', 500]]);
+    t.same([...policy.desiredWorkers(limits(1_500), present)], [['b', 500]]);
   },
 );
--- a/test/singleton-tasks/singleton-task-fixtures.ts
+++ b/test/singleton-tasks/singleton-task-fixtures.ts
@@ -1,4 +1,4 @@
-/** A cloud interface, a lock and a node's share of usage for tests of duties. */
+/** A stub cloud interface, a stub lock and nodes that report usage. */
 import { SharedStoreEmulator } from '../../lab/emulator/shared-store-emulator.js';
 import type {
   CloudCallOutcome,
@@ -20,14 +20,14 @@
 export const WINDOW = 5_000;
 export const DUE_AFTER = 10_000;
 
-/** Takes calls down; outcomes that were not given are `accepted`. */
+/** Records calls and returns the given outcomes, then `accepted`. */
 export class StubCloud implements CloudPort {
-  readonly reports: { readonly report: UsageReport; readonly stamp: FencedHolder }[] = [];
+  readonly reports: { readonly report: UsageReport; readonly caller: FencedHolder }[] = [];
   readonly orders: WorkerOrder[] = [];
   outcomes: CloudCallOutcome[] = [];
 
-  async reportUsage(report: UsageReport, stamp: FencedHolder): Promise<CloudCallOutcome> {
-    this.reports.push({ report, stamp });
+  async reportUsage(report: UsageReport, caller: FencedHolder): Promise<CloudCallOutcome> {
+    this.reports.push({ report, caller });
     return this.outcomes.shift() ?? 'accepted';
   }
 
@@ -37,21 +37,21 @@
   }
 }
 
-/** A lock that a test gives and takes. */
+/** A lock whose token the test sets. */
 export class StubLock implements SingletonTaskLock {
   token: number | undefined = 7;
   readonly refused: number[] = [];
-  underWay = 0;
+  pendingOrders = 0;
 
   fencingToken(): number | undefined {
     return this.token;
   }
   beginOrder(): number | undefined {
-    if (this.token !== undefined) this.underWay += 1;
+    if (this.token !== undefined) this.pendingOrders += 1;
     return this.token;
   }
   endOrder(): void {
-    this.underWay -= 1;
+    this.pendingOrders -= 1;
   }
   noteRefused(token: number): void {
     this.refused.push(token);
@@ -59,7 +59,7 @@
   }
 }
 
-/** One node that may hold the duty. */
+/** The usage parts of one node. */
 export interface UsageNode {
   readonly reporter: UsageReporter;
   readonly meter: UsageMeter;
@@ -69,7 +69,7 @@
   readonly lines: readonly string[];
 }
 
-/** Nodes that share a store, a cloud and the time. */
+/** Nodes that share a store, a cloud interface and a clock. */
 export class UsageFleet {
   readonly store = new SharedStoreEmulator();
   readonly cloud = new StubCloud();
@@ -94,7 +94,7 @@
     return { reporter, meter, gathered, records, lock, lines };
   }
 
-  /** Lets time pass while a node does its regular work. */
+  /** Advances the clock while a node performs its periodic work. */
   async pass(duration: number, node: UsageNode): Promise<void> {
     const end = this.clock.time + duration;
     while (this.clock.time < end) {
--- a/test/singleton-tasks/usage-counts.test.ts
+++ b/test/singleton-tasks/usage-counts.test.ts
@@ -7,7 +7,7 @@
 const totals = (window: number, counts: Record<string, number>): Map<number, Map<string, number>> =>
   new Map([[window, new Map(Object.entries(counts))]]);
 
-t.test('totals that come again, or late, change nothing', async (t) => {
+t.test('duplicate and late totals have no effect', async (t) => {
   const counts = new UsageCounts();
   counts.merge('a', totals(3, { north: 2, south: 1 }));
   counts.merge('a', totals(3, { north: 2, south: 1 }));
@@ -18,7 +18,7 @@
   t.equal(counts.sourcesOf(3), 2);
 });
 
-t.test('what is forgotten stays out, what is told on is whole', async (t) => {
+t.test('removed windows have no counts, and exported counts are complete', async (t) => {
   const counts = new UsageCounts();
   counts.merge('a', totals(3, { north: 2 }));
   counts.merge('a', totals(4, { north: 4 }));
@@ -29,7 +29,7 @@
   t.same(copy.totals(4), { north: 4 });
 });
 
-t.test('a meter counts by window and keeps a few windows only', async (t) => {
+t.test('a meter counts by window and retains a few windows only', async (t) => {
   const clock = new ManualClock();
   const meter = new UsageMeter(new UsageWindows(clock, 1_000), 3);
   for (const window of [10, 11, 11, 12, 13]) meter.noteBegun('north', window * 1_000 + 5);
--- a/test/singleton-tasks/usage-report-property.test.ts
+++ b/test/singleton-tasks/usage-report-property.test.ts
@@ -1,7 +1,4 @@
-/**
- * Any mix of holders, lost answers, outages of the store and counts that come late: all reports of a
- * window that ever leave the fleet are the same, and none is sent under a token that was refused.
- */
+/** Guards against different reports of one window under any mix of holders, outages and restarts. */
 import * as fc from 'fast-check';
 import t from 'tap';
 import { UsageFleet, type UsageNode, WINDOW } from './singleton-task-fixtures.js';
@@ -46,15 +43,15 @@
   }),
 );
 
-/** A fleet whose nodes hold the duty in any order, some of them at the same time. */
+/** A fleet whose nodes hold the lock in any order, some of them at the same time. */
 class World {
   readonly fleet = new UsageFleet();
   private readonly nodes: UsageNode[] = [];
   private token = 10;
-  private lives = 0;
+  private startedNodes = 0;
 
   constructor() {
-    for (let index = 0; index < NODES; index += 1) this.nodes.push(this.born());
+    for (let index = 0; index < NODES; index += 1) this.nodes.push(this.startNode());
     this.hold(0);
   }
 
@@ -62,10 +59,10 @@
     const { fleet } = this;
     if (action.kind === 'pass') return this.pass(action.duration);
     if (action.kind === 'hold') return this.hold(action.node);
-    if (action.kind === 'second-holder') return this.give(action.node);
+    if (action.kind === 'second-holder') return this.grantLock(action.node);
     if (action.kind === 'count')
       this.at(action.node).meter.noteBegun(action.tenant, fleet.clock.now());
-    if (action.kind === 'restart') this.nodes[action.node] = this.born();
+    if (action.kind === 'restart') this.nodes[action.node] = this.startNode();
     if (action.kind === 'store') fleet.store.setAvailability(action.up ? 'up' : 'refusing');
     if (action.kind === 'lose-answers') fleet.store.loseAnswers('applied', 'applied');
     if (action.kind === 'cloud') fleet.cloud.outcomes.push(action.outcome);
@@ -77,20 +74,20 @@
     return found;
   }
 
-  private born(): UsageNode {
-    this.lives += 1;
-    const made = this.fleet.node(`node-${this.lives}`);
+  private startNode(): UsageNode {
+    this.startedNodes += 1;
+    const made = this.fleet.node(`node-${this.startedNodes}`);
     made.lock.token = undefined;
     return made;
   }
 
   private hold(index: number): void {
     for (const one of this.nodes) one.lock.token = undefined;
-    this.give(index);
+    this.grantLock(index);
   }
 
-  /** A holder of before may not know yet that it holds the duty no more. */
-  private give(index: number): void {
+  /** Earlier holders keep their tokens, like nodes that have not noticed the loss of the lock yet. */
+  private grantLock(index: number): void {
     this.token += 1;
     this.at(index).lock.token = this.token;
   }
@@ -105,7 +102,7 @@
   }
 }
 
-t.test('all reports of a window that leave the fleet are the same', async (t) => {
+t.test('all sent reports of a window are identical', async (t) => {
   let compared = 0;
   const property = fc.asyncProperty(
     fc.array(ACTION, { minLength: 20, maxLength: 60 }),
--- a/test/singleton-tasks/usage-reporter.test.ts
+++ b/test/singleton-tasks/usage-reporter.test.ts
@@ -1,7 +1,7 @@
 import t from 'tap';
 import { DUE_AFTER, UsageFleet, WINDOW } from './singleton-task-fixtures.js';
 
-/** The clock starts at 1 s of 1970, in window 0. */
+/** The clock starts at 1 s after the Unix epoch, in window 0. */
 const DAY_PART = 3 * WINDOW + DUE_AFTER;
 
 t.test('each window is reported once, after its counts had time to arrive', async (t) => {
@@ -21,31 +21,31 @@
     ]),
   );
   await fleet.pass(WINDOW + DUE_AFTER / 2 - 1_200, node);
-  t.same(fleet.cloud.reports, [], 'not before it has settled');
+  t.same(fleet.cloud.reports, [], 'not before the counts had time to arrive');
   await fleet.pass(1_000, node);
   t.match(fleet.cloud.reports, [
     {
       report: { window: 0, counts: { north: 3, south: 1 } },
-      stamp: { holder: 'one', fencingToken: 7 },
+      caller: { holder: 'one', fencingToken: 7 },
     },
   ]);
   await fleet.pass(DAY_PART, node);
   t.same(
     fleet.cloud.reports.map(({ report }) => report.window),
     [0, 1, 2, 3, 4, 5],
-    'windows without requests are reported too, and none twice',
+    'each window is reported once, including windows without requests',
   );
-  t.equal(node.lock.underWay, 0);
+  t.equal(node.lock.pendingOrders, 0);
 });
 
-t.test('a later holder sends the kept text, whatever it counts itself', async (t) => {
+t.test('a later holder sends the stored report instead of its own counts', async (t) => {
   const fleet = new UsageFleet();
   const first = fleet.node('one');
   first.meter.noteBegun('north', fleet.clock.now());
   fleet.cloud.outcomes = Array(60).fill('unknown');
   await fleet.pass(WINDOW + DUE_AFTER, first);
   const sent = fleet.cloud.reports.length;
-  t.ok(sent > 2, 'a call without an answer is made again');
+  t.ok(sent > 2, 'a call without an answer is retried');
   first.lock.token = undefined;
   const second = fleet.node('two');
   second.lock.token = 9;
@@ -54,11 +54,11 @@
   fleet.cloud.outcomes = [];
   await fleet.pass(1_000, second);
   const ofFirstWindow = fleet.cloud.reports.filter(({ report }) => report.window === 0);
-  t.equal(ofFirstWindow.at(-1)?.stamp.fencingToken, 9);
+  t.equal(ofFirstWindow.at(-1)?.caller.fencingToken, 9);
   for (const { report } of ofFirstWindow) t.same(report.counts, { north: 1 });
 });
 
-t.test('two holders at a time send one text', async (t) => {
+t.test('two simultaneous holders send identical reports', async (t) => {
   const fleet = new UsageFleet();
   const first = fleet.node('one');
   const second = fleet.node('two');
@@ -71,7 +71,7 @@
   t.equal(texts.size, 1);
 });
 
-t.test('nothing is sent that the store has not kept', async (t) => {
+t.test('no report is sent before it is stored', async (t) => {
   const fleet = new UsageFleet();
   const node = fleet.node('one');
   node.meter.noteBegun('north', fleet.clock.now());
@@ -83,7 +83,7 @@
   t.match(fleet.cloud.reports[0], { report: { window: 0, counts: { north: 1 } } });
 });
 
-t.test('a refused token is dropped and not used again', async (t) => {
+t.test('a rejected token is not used again', async (t) => {
   const fleet = new UsageFleet();
   const node = fleet.node('one');
   fleet.cloud.outcomes = ['superseded'];
@@ -92,7 +92,7 @@
   t.same(node.lock.refused, [7]);
 });
 
-t.test('counts of open windows outlive their holder', async (t) => {
+t.test('counts of open windows survive a change of the holder', async (t) => {
   const fleet = new UsageFleet();
   const first = fleet.node('one');
   first.gathered.merge('gone-life', new Map([[0, new Map([['north', 4]])]]));
@@ -103,16 +103,16 @@
   t.match(fleet.cloud.reports[0]?.report, { window: 0, counts: { north: 5 } });
 });
 
-t.test('counts that a stopping node left in the store are reported', async (t) => {
+t.test('counts that a stopping node stored are reported', async (t) => {
   const fleet = new UsageFleet();
   const node = fleet.node('one');
   const counts = new Map([[0, new Map([['south', 2]])]]);
-  await node.records.keepCounts('left-life', [{ source: 'left-life', counts }]);
+  await node.records.storeCounts('left-life', [{ source: 'left-life', counts }]);
   await fleet.pass(WINDOW + DUE_AFTER / 2, node);
   t.match(fleet.cloud.reports[0]?.report, { window: 0, counts: { south: 2 } });
 });
 
-t.test('a fleet that starts for the first time reports nothing of the time before', async (t) => {
+t.test('a fleet that starts for the first time reports no earlier windows', async (t) => {
   const fleet = new UsageFleet();
   fleet.clock.time = 20 * WINDOW;
   const node = fleet.node('one', 20);
@@ -123,7 +123,7 @@
   );
 });
 
-t.test('a report that can no longer be sent is told of', async (t) => {
+t.test('a report that can no longer be sent is logged', async (t) => {
   const fleet = new UsageFleet();
   const node = fleet.node('one');
   fleet.cloud.outcomes = Array(500).fill('unavailable');
--- a/test/singleton-tasks/usage-sender.test.ts
+++ b/test/singleton-tasks/usage-sender.test.ts
@@ -13,7 +13,7 @@
   readonly meter: UsageMeter;
   readonly gathered: UsageCounts;
   readonly records: UsageRecords;
-  readonly told: { readonly holder: string; readonly counts: WindowCounts }[];
+  readonly sent: { readonly holder: string; readonly counts: WindowCounts }[];
   readonly clock: ManualClock;
   duties: SingletonTaskHolder;
   answers: boolean;
@@ -24,7 +24,7 @@
   const meter = new UsageMeter(new UsageWindows(clock, 5_000), 5);
   const gathered = new UsageCounts();
   const records = new UsageRecords(new SharedStoreEmulator(), () => {});
-  const told: Fixture['told'] = [];
+  const sent: Fixture['sent'] = [];
   const state = { duties: { holder: 'holder', term: 1 } as SingletonTaskHolder, answers: true };
   const sender = new UsageSender({
     ...{ meter, gathered, records, clock },
@@ -33,50 +33,50 @@
     taskHolder: () => state.duties,
     liveNodes: () => 10,
     tell: async (holder, _, counts) => {
-      told.push({ holder, counts });
+      sent.push({ holder, counts });
       return state.answers;
     },
     log: recordingLog().log,
   });
-  return Object.assign(state, { sender, meter, gathered, records, told, clock });
+  return Object.assign(state, { sender, meter, gathered, records, sent, clock });
 }
 
-/** Two looks with the least pause between two messages in between. */
-async function lookTwice({ sender, clock }: Fixture): Promise<void> {
-  await sender.look();
+/** Polls twice, with the minimum send interval between the polls. */
+async function pollTwice({ sender, clock }: Fixture): Promise<void> {
+  await sender.poll();
   clock.time += 1_100;
-  await sender.look();
+  await sender.poll();
 }
 
-t.test('the holder is told totals, once for each news', async (t) => {
+t.test('the holder receives totals once per change', async (t) => {
   const run = fixture();
-  await lookTwice(run);
+  await pollTwice(run);
   run.meter.noteBegun('north', 1_000);
-  await lookTwice(run);
+  await pollTwice(run);
   run.meter.noteBegun('north', 1_000);
-  await lookTwice(run);
+  await pollTwice(run);
   t.same(
-    run.told.map(({ counts }) => counts.get(0)?.get('north')),
+    run.sent.map(({ counts }) => counts.get(0)?.get('north')),
     [1, 2],
   );
 });
 
-t.test('a message that was lost is sent again, and a new holder is told everything', async (t) => {
+t.test('a lost message is sent again, and a new holder receives all counts', async (t) => {
   const run = fixture();
   run.meter.noteBegun('north', 1_000);
   run.answers = false;
-  await lookTwice(run);
-  t.equal(run.told.length, 2);
+  await pollTwice(run);
+  t.equal(run.sent.length, 2);
   run.answers = true;
-  await lookTwice(run);
+  await pollTwice(run);
   run.duties = { holder: 'next', term: 2 };
   run.clock.time += 1_100;
-  await lookTwice(run);
-  t.match(run.told.at(-1), { holder: 'next' });
-  t.equal(run.told.length, 4);
+  await pollTwice(run);
+  t.match(run.sent.at(-1), { holder: 'next' });
+  t.equal(run.sent.length, 4);
 });
 
-t.test('what the holder was not told when the node ends is left in the store', async (t) => {
+t.test('counts that the holder has not received are stored when the node stops', async (t) => {
   const run = fixture();
   run.meter.noteBegun('north', 1_000);
   run.answers = false;
@@ -85,7 +85,7 @@
   t.equal(kept?.counts[0]?.counts.get(0)?.get('north'), 1);
 });
 
-t.test('a holder that ends leaves what others told it', async (t) => {
+t.test('a holder that stops stores the counts that it received', async (t) => {
   const run = fixture();
   run.duties = { holder: 'own', term: 1 };
   run.gathered.merge('other-life', new Map([[0, new Map([['south', 3]])]]));
@@ -94,11 +94,11 @@
   t.match(kept?.counts, [{ source: 'other-life' }]);
 });
 
-t.test('a node that has told everything leaves nothing', async (t) => {
+t.test('a node without unsent counts stores nothing when it stops', async (t) => {
   const run = fixture();
   run.meter.noteBegun('north', 1_000);
-  await run.sender.look();
+  await run.sender.poll();
   await run.sender.finish();
-  t.equal(run.told.length, 1);
+  t.equal(run.sent.length, 1);
   t.same((await run.records.read(0))?.counts, []);
 });
--- a/test/singleton-tasks/usage-windows.test.ts
+++ b/test/singleton-tasks/usage-windows.test.ts
@@ -2,7 +2,7 @@
 import { UsageWindows } from '../../src/singleton-tasks/usage-windows.js';
 import { ManualClock } from '../jobs/job-fixtures.js';
 
-/** Steady time and time of day that move apart. */
+/** A clock whose time of day can jump relative to the steady time. */
 class JumpingClock extends ManualClock {
   jump = 0;
   override wallTime(): number {
@@ -22,7 +22,7 @@
   t.equal(windows.timeSinceEnd(200), 2_000);
 });
 
-t.test('a jump of the time of day moves no window', async (t) => {
+t.test('a short jump of the time of day does not change the window', async (t) => {
   const clock = new JumpingClock();
   const windows = new UsageWindows(clock, 5_000);
   const before = windows.current;
@@ -33,7 +33,7 @@
   }
 });
 
-t.test('small differences are followed at once, a jump after it has lasted', async (t) => {
+t.test('small drifts are followed at once, a jump after it has persisted', async (t) => {
   const clock = new JumpingClock();
   clock.time = 0;
   const windows = new UsageWindows(clock, 5_000);
--- a/test/singleton-tasks/worker-scaler.test.ts
+++ b/test/singleton-tasks/worker-scaler.test.ts
@@ -47,7 +47,7 @@
   const scaler = new WorkerScaler({
     isEvacuated: (zone) => evacuated.has(zone),
     ...{ port: cloud, lock, clock, registry, node: 'one' },
-    policy: { wanted: () => wanted },
+    policy: { desiredWorkers: () => wanted },
     services: () => [service('fixed', undefined), service('service', scaling)],
     log: recordingLog().log,
     metrics: new FleetMetrics(),
@@ -64,10 +64,10 @@
 }
 
 const ordered = (cloud: StubCloud): string[] =>
-  cloud.orders.map(({ service: name, zone, wanted }) => `${name} ${zone} ${wanted}`);
+  cloud.orders.map(({ service: name, zone, desiredCount }) => `${name} ${zone} ${desiredCount}`);
 
 t.test(
-  'each zone of a scaled service is ordered once, and again when the need changes',
+  'each zone of a scaled service is ordered once, and again when the number changes',
   async (t) => {
     const run = fixture();
     await run.pass(2_000);
@@ -78,7 +78,7 @@
   },
 );
 
-t.test('an order without an answer is sent again as it was', async (t) => {
+t.test('a failed order is repeated unchanged', async (t) => {
   const run = fixture();
   run.wanted.delete('zone-2');
   run.cloud.outcomes = ['unknown', 'throttled', 'unavailable'];
@@ -86,7 +86,7 @@
   t.same(ordered(run.cloud), Array(4).fill('service zone-1 1'));
 });
 
-t.test('workers that do not come are ordered again after their time to start', async (t) => {
+t.test('missing workers are ordered again after their boot time', async (t) => {
   const run = fixture();
   run.wanted.delete('zone-2');
   await run.pass(9_000);
@@ -98,7 +98,7 @@
   t.equal(run.cloud.orders.length, 2);
 });
 
-t.test('without the lock nothing is ordered, and a refused token is dropped', async (t) => {
+t.test('nothing is ordered without the lock, and a rejected token is not used again', async (t) => {
   const run = fixture();
   run.lock.token = undefined;
   await run.pass(2_000);
@@ -111,7 +111,7 @@
 });
 
 t.test(
-  'no worker is ordered in an evacuated zone, and those that are missing at its return are',
+  'an evacuated zone gets no orders, and its missing workers are ordered after its return',
   async (t) => {
     const run = fixture();
     run.registry.put(worker('w1', { zone: 'zone-2' }));
