--- a/src/peers/peer-client.ts
+++ b/src/peers/peer-client.ts
@@ -1,9 +1,9 @@
-/** Asks other nodes over kept-alive HTTP; questions and answers travel in devalue. */
+/** Sends requests to other nodes over keep-alive HTTP, encoded with devalue. */
 import http from 'node:http';
 import { parse, stringify } from 'devalue';
 import type { Milliseconds } from '../core/units.js';
 import { readWhole } from '../serving/read-chunks.js';
-import { KeptConnections } from './kept-connections.js';
+import { KeepAliveAgent } from './keep-alive-agent.js';
 import type {
   PeerAnswers,
   PeerOutcome,
@@ -11,12 +11,18 @@
   PeerRequest,
   PeerRequestOf,
 } from './peer-messages.js';
-import { isNewKind, isUnsupported, PEER_PATH, PEER_STATUS, wholeAnswer } from './peer-protocol.js';
+import {
+  isNewKind,
+  isUnsupported,
+  PEER_PATH,
+  PEER_STATUS,
+  withAnswerDefaults,
+} from './peer-protocol.js';
 import { UnsupportedKinds } from './unsupported-kinds.js';
 
-/** Speaks to the other nodes of a fleet. */
+/** HTTP client for requests to the other nodes of a fleet. */
 export class PeerClient implements PeerPort {
-  private readonly agent = new KeptConnections();
+  private readonly agent = new KeepAliveAgent();
   private readonly unsupported = new UnsupportedKinds();
 
   request<Kind extends PeerRequest['kind']>(
@@ -24,14 +30,14 @@
     request: PeerRequestOf<Kind>,
     limit: Milliseconds,
   ): Promise<PeerOutcome<Kind>> {
-    const isKnownInVain = this.unsupported.has(address, request.kind);
-    if (isKnownInVain) return Promise.resolve({ kind: 'unsupported' });
+    const isKnownUnsupported = this.unsupported.has(address, request.kind);
+    if (isKnownUnsupported) return Promise.resolve({ kind: 'unsupported' });
     return new Promise((resolve) => {
       const body = Buffer.from(stringify(request));
       const colon = address.lastIndexOf(':');
-      const place = { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) };
+      const target = { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) };
       const call = http.request({
-        ...place,
+        ...target,
         agent: this.agent,
         method: 'POST',
         path: PEER_PATH,
@@ -44,7 +50,7 @@
         if (!isAnswered) call.destroy();
       };
       const timer = setTimeout(() => {
-        this.agent.dropIdle(place);
+        this.agent.closeIdle(target);
         settle({ kind: 'silent' });
       }, limit);
       call.on('error', (error: NodeJS.ErrnoException) => {
@@ -53,8 +59,8 @@
       call.on('response', (response) => {
         const { socket } = response;
         void readAnswer<Kind>(request.kind, response).then((outcome) => {
-          const isToRemember = outcome.kind === 'unsupported' && isNewKind(request.kind);
-          if (isToRemember) this.unsupported.note(address, request.kind, socket);
+          const shouldRemember = outcome.kind === 'unsupported' && isNewKind(request.kind);
+          if (shouldRemember) this.unsupported.note(address, request.kind, socket);
           settle(outcome);
         });
       });
@@ -78,9 +84,9 @@
   if (response.statusCode !== PEER_STATUS.answered) return { kind: 'silent' };
   try {
     const answer = parse(body.toString('utf8')) as PeerAnswers[Kind];
-    return { kind: 'answered', answer: wholeAnswer(kind, answer) };
+    return { kind: 'answered', answer: withAnswerDefaults(kind, answer) };
   } catch {
-    // Half an answer, or none of ours: it counts as silence, which the caller's counters tell.
+    // An answer that can't be decoded counts as none.
     return { kind: 'silent' };
   }
 }
--- a/src/peers/peer-messages.ts
+++ b/src/peers/peer-messages.ts
@@ -1,4 +1,4 @@
-/** What nodes of a fleet ask each other directly. */
+/** Requests and answers between the nodes of a fleet, and the ports that carry them. */
 import type { ZoneName } from '../core/identity.js';
 import type { Milliseconds, Revision } from '../core/units.js';
 import type { Failure } from '../errors/error-kinds.js';
@@ -15,46 +15,49 @@
 import type { UsageSource, WindowCounts } from '../singleton-tasks/usage-counts.js';
 import type { CallerIdentity, TenantName } from '../tenants/tenant.js';
 
-/** A question to one node: a gateway, or a replica of a zone's journal. */
+/** A request to a gateway or to a replica of a zone's journal. */
 export type PeerRequest = GatewayRequest | JournalRequest;
 
-/** A question to a gateway. */
+/** A request to a gateway. */
 export type GatewayRequest =
-  /** Is this life of you still running? */
+  /** Whether this incarnation of the node is still running. */
   | { readonly kind: 'probe'; readonly owner: JobOwner }
-  /** What have you kept of these items? */
+  /** Reads the stored work of these items. */
   | {
       readonly kind: 'kept-work';
       readonly items: readonly string[];
-      /** Where the node that asks stands; older builds do not tell. */
+      /** Zone of the sender; absent from older builds. */
       readonly zone?: ZoneName;
     }
-  /** Which results are listed from a position on, as the owner of the job knows? */
+  /** Reads results after a position from the owner of a job; waits up to `wait` for the first. */
   | {
       readonly kind: 'job-results';
       readonly job: string;
       readonly after: number;
       readonly wait: Milliseconds;
     }
-  /** End this job, as its owner. */
+  /** Cancels a job at its owner. */
   | { readonly kind: 'end-job'; readonly job: string; readonly caller: CallerIdentity }
-  /** This job is mine now: what have you made of it? The store may not have told you yet. */
+  /**
+   * Sent by the new owner of a job to the previous one: release the job and return its unfinished
+   * work. The previous owner may not have seen the change in the store yet.
+   */
   | {
       readonly kind: 'surrender-job';
       readonly job: string;
-      /** Where the node that asks stands; older builds do not tell. */
+      /** Zone of the sender; absent from older builds. */
       readonly zone?: ZoneName;
     }
-  /** I don't reach the store: take this job in for me. */
+  /** Submits a job on behalf of a gateway that can't reach the store. */
   | {
       readonly kind: 'submit-for';
       readonly spec: JobSpecification;
-      /** Time for which it is waited for; also in an outage of the store. */
+      /** Time to keep trying, also during an outage of the store. */
       readonly limit: Milliseconds;
-      /** Whether it was handed in where it may not lie. @default it was not */
+      /** Whether the job was submitted in a zone that may not store it. @default false */
       readonly isFromOutside?: boolean;
     }
-  /** I don't reach the store: read these results for me. */
+  /** Reads results on behalf of a gateway that can't reach the store. */
   | {
       readonly kind: 'read-for';
       readonly job: string;
@@ -62,50 +65,50 @@
       readonly wait: Milliseconds;
       readonly caller: CallerIdentity;
     }
-  /** I don't reach the store: end this job for me. */
+  /** Cancels a job on behalf of a gateway that can't reach the store. */
   | { readonly kind: 'end-for'; readonly job: string; readonly caller: CallerIdentity }
-  /** Take this job over, whose owner is gone, or answers and does not reach the store. */
+  /** Takes over a job whose owner has terminated, or answers but can't reach the store. */
   | {
       readonly kind: 'adopt-job';
       readonly job: string;
       readonly owner: JobOwner;
       readonly ownerAnswers: boolean;
     }
-  /** What is the body of this item of a job that you run? */
+  /** Reads the body of an item from the owner of its job. */
   | { readonly kind: 'item-body'; readonly job: string; readonly item: string }
-  /** Take this job, which was just released. */
+  /** Takes a job that its owner has just released. */
   | { readonly kind: 'take-job'; readonly job: string }
-  /** What has changed under a prefix of the shared store, as you saw it there? */
+  /** Waits for changes under a prefix of the shared store, as the node has seen them there. */
   | {
       readonly kind: 'follow-prefix';
       readonly prefix: string;
       readonly after: Revision;
       readonly wait: Milliseconds;
-      /** Another relay asks, to tell its own followers: only what you follow at the store counts. */
+      /** The sender is a relay: answer only from a watch on the store, not on another relay. */
       readonly forRelay?: boolean;
     }
-  /** What lies under a prefix of the shared store, as you saw it there? */
+  /** Lists a prefix of the shared store, as the node has seen it there. */
   | { readonly kind: 'list-prefix'; readonly prefix: string; readonly forRelay?: boolean }
-  /** Give no more orders as coordinator: the lock is mine, or is about to be. */
+  /** Stops the orders of a coordinator whose lock the sender holds or is about to acquire. */
   | { readonly kind: 'resign-coordinator' }
-  /** What workers began to run for me; told to the holder of the duties. */
+  /** Reports the sender's request counts to the holder of the singleton tasks. */
   | { readonly kind: 'usage-counts'; readonly source: UsageSource; readonly counts: WindowCounts }
-  /** A worker ended, and these requests were there. */
+  /** Reports a crash of a worker, and the requests that it was running. */
   | { readonly kind: 'worker-ended'; readonly report: CrashReport }
-  /** A worker changes weights; told to the nodes that run jobs. */
+  /** Notifies nodes that run jobs that a worker changes its weights. */
   | { readonly kind: 'weights-change'; readonly change: WeightChange }
-  /** How warm are these workers, and may I send them requests? Asked of the coordinator. */
+  /** Requests permits for cold workers from the coordinator. */
   | { readonly kind: 'cold-permits'; readonly wishes: readonly PermitRequest[] }
-  /** What a job needs; told to the coordinator. */
+  /** Reports the weights that a job needs to the coordinator. */
   | { readonly kind: 'need-weights'; readonly need: WeightNeed };
 
-/** The answer to a question, by its kind. */
+/** Answers by the kind of the request. */
 export interface PeerAnswers extends JournalAnswers {
   readonly probe: {
     readonly isAlive: boolean;
-    /** Whether the store has answered it lately. */
+    /** Whether the store has recently answered the node. */
     readonly reachesStore: boolean;
-    /** Whether others would miss it at once: it runs jobs, relays the store or gives orders. */
+    /** Whether the node runs jobs, relays the store or coordinates. */
     readonly hasDuties: boolean;
   };
   readonly 'kept-work': { readonly work: ReadonlyMap<string, DigestedWork> };
@@ -117,19 +120,19 @@
         readonly tenant: TenantName | undefined;
         readonly total: number;
         readonly results: readonly JobResult[];
-        /** Pages of results up to the last one of `results`, where they end with a page. */
+        /** Number of result pages up to the last of `results`, if they end with a page. */
         readonly pages: number;
-        /** Where they may be kept; `undefined` where anywhere. */
+        /** Regions that may store the results; `undefined` if any may. */
         readonly allowedRegions?: AllowedRegions;
       };
   readonly 'end-job': { readonly isEnded: boolean };
   readonly 'surrender-job': { readonly work: ReadonlyMap<string, DigestedWork> };
-  /** `failure` is undefined where the job is kept. */
+  /** `failure` is `undefined` if the job is stored. */
   readonly 'submit-for': { readonly failure: Failure | undefined };
   readonly 'read-for': { readonly read: ResultSlice | Failure };
   readonly 'end-for': { readonly failure: Failure | undefined };
   readonly 'adopt-job': { readonly isTaken: boolean };
-  /** `body` is base64, and undefined where the job has no such item. */
+  /** `body` is base64; `undefined` if the job has no such item. */
   readonly 'item-body':
     | { readonly isOwner: false }
     | {
@@ -138,14 +141,14 @@
         readonly body: string | undefined;
       };
   readonly 'take-job': { readonly isTaken: boolean };
-  readonly 'follow-prefix': /** The node does not surely hear from the store. */
+  readonly 'follow-prefix': /** The node may have lost its watch on the store. */
     | { readonly isCurrent: false }
-    /** The node does not know that far back: list the prefix anew. */
+    /** The node no longer has changes from that revision on: list the prefix again. */
     | { readonly isCurrent: true; readonly changes: undefined }
     | {
         readonly isCurrent: true;
         readonly changes: readonly StoreChange[];
-        /** The next question goes on from here. */
+        /** The next request continues from here. */
         readonly revision: Revision;
       };
   readonly 'list-prefix':
@@ -153,10 +156,10 @@
     | {
         readonly isCurrent: true;
         readonly items: readonly StoreItem[];
-        /** A watch goes on from here. */
+        /** A watch continues from here. */
         readonly revision: Revision;
       };
-  /** Time since the machine's last order ended, at the latest when this life of it began. */
+  /** Time since the node's last order completed, or since its process started. */
   readonly 'resign-coordinator': { readonly lastOrderAge: Milliseconds };
   readonly 'worker-ended': { readonly isNoted: boolean };
   readonly 'usage-counts': { readonly isNoted: boolean };
@@ -165,19 +168,19 @@
   readonly 'need-weights': { readonly isNoted: boolean };
 }
 
-/** A question of one kind. */
+/** A request of one kind. */
 export type PeerRequestOf<Kind extends PeerRequest['kind']> = Extract<PeerRequest, { kind: Kind }>;
 
-/** Answers the questions of other nodes. */
+/** Handles the requests of other nodes. */
 export interface PeerHandler {
-  /** `undefined` where it does not answer such a kind, which a newer build may know. */
+  /** Resolves with `undefined` for a kind that this node does not support. */
   answer(request: PeerRequest): Promise<PeerAnswers[PeerRequest['kind']] | undefined>;
 }
 
 /**
- * Outcome of a question. `unsupported`: the node lives, has not acted on the question and never will,
- * as its build does not know the kind, so the asker does without; `refused`: nobody listens there, so
- * the process is gone; `silent`: no answer in time, or the connection broke.
+ * Outcome of a request. `unsupported`: the node runs, but its build does not support the kind and did
+ * not act on the request; `refused`: nothing listens at the address, so the process has terminated;
+ * `silent`: no answer in time, or the connection broke.
  */
 export type PeerOutcome<Kind extends PeerRequest['kind']> =
   | { readonly kind: 'answered'; readonly answer: PeerAnswers[Kind] }
@@ -185,7 +188,7 @@
   | { readonly kind: 'refused' }
   | { readonly kind: 'silent' };
 
-/** Asks other nodes. */
+/** Sends requests to other nodes. */
 export interface PeerPort {
   request<Kind extends PeerRequest['kind']>(
     address: string,
--- a/src/peers/peer-protocol.ts
+++ b/src/peers/peer-protocol.ts
@@ -1,17 +1,15 @@
 /**
- * How questions and answers travel from node to node, and what holds while nodes of two builds run
- * side by side: fields that a build does not know are ignored, fields that it lacks have a default
- * here, and a kind that it does not know is answered as such.
+ * Wire protocol between nodes, and its compatibility between builds: unknown fields are ignored,
+ * missing fields get defaults, and an unknown kind of request is answered with a status of its own.
  */
 import type { PeerAnswers, PeerRequest, PeerRequestOf } from './peer-messages.js';
 
-/** Path of the node-to-node endpoint. */
 export const PEER_PATH = '/fleet/peer';
 
-/** Statuses of answers. */
+/** HTTP statuses of answers. */
 export const PEER_STATUS = {
   answered: 200,
-  /** No question. Builds of format 1 say so of a kind that they do not know, and of a long question. */
+  /** Not a request. Builds of format 1 also answer unknown kinds and long requests with it. */
   malformed: 400,
   otherPath: 404,
   tooLong: 413,
@@ -20,8 +18,8 @@
 } as const;
 
 /**
- * Kinds that every build knows. A build of format 1 gives a question that is too long the status of an
- * unknown kind, so a refusal of these kinds speaks of that one question and is not remembered.
+ * Kinds that every build supports. A build of format 1 answers a request that is too long like one of
+ * an unknown kind, so a rejection of these kinds applies to that request only and is not remembered.
  */
 const KINDS_OF_FORMAT_1: readonly string[] = [
   'probe',
@@ -49,19 +47,19 @@
   'journal-list',
 ] satisfies PeerRequest['kind'][];
 
-/** Whether a status says that the question was not acted on and never will be. */
+/** Whether a status means that the node did not act on the request and never will. */
 export function isUnsupported(status: number | undefined): boolean {
   const { malformed, tooLong, unknownKind } = PEER_STATUS;
   return status === malformed || status === tooLong || status === unknownKind;
 }
 
-/** Whether some build that may be live does not know a kind. */
+/** Whether a build that may be running does not support a kind. */
 export function isNewKind(kind: string): boolean {
   return !KINDS_OF_FORMAT_1.includes(kind);
 }
 
-/** Fields that questions of older builds lack. */
-type QuestionDefaults = {
+/** Fields that requests of older builds lack. */
+type RequestDefaults = {
   readonly [Kind in PeerRequest['kind']]?: Partial<PeerRequestOf<Kind>>;
 };
 
@@ -71,28 +69,28 @@
 };
 
 /**
- * A required field that is added to a question stands here with what its absence means; an optional
- * one says so where it is declared.
+ * Holds the default of each required field that is added to a request; the default of an optional
+ * field is documented at its declaration.
  */
-const QUESTION_DEFAULTS: QuestionDefaults = {};
+const REQUEST_DEFAULTS: RequestDefaults = {};
 
-/** The same for the fields of answers. */
+/** Like {@link REQUEST_DEFAULTS}, for answers. */
 const ANSWER_DEFAULTS: AnswerDefaults = {};
 
-/** A question with the fields that an older build left out. */
-export function wholeQuestion(question: PeerRequest): PeerRequest {
-  return withDefaults<PeerRequest>(question, QUESTION_DEFAULTS[question.kind]);
+/** Adds the fields that an older build left out of a request. */
+export function withRequestDefaults(request: PeerRequest): PeerRequest {
+  return withDefaults<PeerRequest>(request, REQUEST_DEFAULTS[request.kind]);
 }
 
-/** An answer with the fields that an older build left out. */
-export function wholeAnswer<Kind extends PeerRequest['kind']>(
+/** Adds the fields that an older build left out of an answer. */
+export function withAnswerDefaults<Kind extends PeerRequest['kind']>(
   kind: Kind,
   answer: PeerAnswers[Kind],
 ): PeerAnswers[Kind] {
   return withDefaults(answer, ANSWER_DEFAULTS[kind]);
 }
 
-/** The message itself where it has nothing to be added to. */
+/** Returns the message itself if it has no defaults. */
 function withDefaults<Message extends object>(
   message: Message,
   defaults: Partial<Message> | undefined,
--- a/src/peers/peer-server.ts
+++ b/src/peers/peer-server.ts
@@ -1,36 +1,35 @@
-/** Takes the questions of other nodes. */
+/** Serves the requests of other nodes over HTTP. */
 import http from 'node:http';
 import { parse, stringify } from 'devalue';
 import * as z from 'zod';
 import { readWhole } from '../serving/read-chunks.js';
 import type { PeerHandler, PeerRequest } from './peer-messages.js';
-import { PEER_PATH, PEER_STATUS, wholeQuestion } from './peer-protocol.js';
+import { PEER_PATH, PEER_STATUS, withRequestDefaults } from './peer-protocol.js';
 
-/** The fields of a question are trusted, as only nodes reach the address. */
+/** Only `kind` is checked, because the address is reachable only for nodes of the fleet. */
 const REQUEST = z.looseObject({ kind: z.string() });
 
-/** Largest question in bytes. */
-const MAXIMUM_BYTES = 4_194_304;
+const MAX_REQUEST_BYTES = 4_194_304;
 
-/** Listens on the node-to-node address. */
+/** HTTP server on the node-to-node address. */
 export class PeerServer {
   private readonly server: http.Server;
   /**
-   * Answers as they go out, by the answer itself: a list of 3,003 workers takes 28 ms of a whole core
-   * to write, and a relay gives the same one to all its followers after a restart.
+   * Encoded answers by answer object. A relay sends the same large snapshot to all its followers,
+   * which are spared encoding it again.
    */
-  private readonly written = new WeakMap<object, string>();
+  private readonly encodedAnswers = new WeakMap<object, string>();
 
-  /** `noteFault` is told of questions whose answer failed here; who asked is told of no cause. */
+  /** `onFault` receives the errors of failed requests; the peer gets only a status. */
   constructor(
     private readonly handler: PeerHandler,
-    private readonly noteFault: (error: unknown) => void = () => {},
+    private readonly onFault: (error: unknown) => void = () => {},
   ) {
     this.server = http.createServer((request, response) => void this.serve(request, response));
     this.server.keepAliveTimeout = 60_000;
   }
 
-  /** Listens; resolves with the port. */
+  /** Resolves with the port, which the system chooses if `port` is 0. */
   listen(host: string, port: number): Promise<number> {
     return new Promise((resolve, reject) => {
       this.server.once('error', reject);
@@ -41,17 +40,17 @@
     });
   }
 
-  /** Takes no more questions. */
+  /** Stops listening and closes all connections. */
   stop(): void {
     this.server.close();
     this.server.closeAllConnections();
   }
 
-  private write(answer: object): string {
-    const known = this.written.get(answer);
+  private encode(answer: object): string {
+    const known = this.encodedAnswers.get(answer);
     if (known !== undefined) return known;
     const body = stringify(answer);
-    this.written.set(answer, body);
+    this.encodedAnswers.set(answer, body);
     return body;
   }
 
@@ -60,28 +59,28 @@
       response.writeHead(PEER_STATUS.otherPath).end();
       return;
     }
-    const question = await readRequest(request);
-    if (typeof question === 'number') {
-      response.writeHead(question).end();
+    const peerRequest = await readPeerRequest(request);
+    if (typeof peerRequest === 'number') {
+      response.writeHead(peerRequest).end();
       return;
     }
     try {
-      const answer = await this.handler.answer(wholeQuestion(question));
+      const answer = await this.handler.answer(withRequestDefaults(peerRequest));
       if (answer === undefined) response.writeHead(PEER_STATUS.unknownKind).end();
       else {
         const headers = { 'content-type': 'application/json' };
-        response.writeHead(PEER_STATUS.answered, headers).end(this.write(answer));
+        response.writeHead(PEER_STATUS.answered, headers).end(this.encode(answer));
       }
     } catch (error) {
-      this.noteFault(error);
+      this.onFault(error);
       response.writeHead(PEER_STATUS.failed).end();
     }
   }
 }
 
-/** The question, or the status that tells why there is none. */
-async function readRequest(request: http.IncomingMessage): Promise<PeerRequest | number> {
-  const body = await readWhole(request, MAXIMUM_BYTES);
+/** Reads a request; returns the error status if it is too large or malformed. */
+async function readPeerRequest(request: http.IncomingMessage): Promise<PeerRequest | number> {
+  const body = await readWhole(request, MAX_REQUEST_BYTES);
   if (body === undefined) return PEER_STATUS.tooLong;
   try {
     const value: unknown = parse(body.toString('utf8'));
--- a/src/peers/unsupported-kinds.ts
+++ b/src/peers/unsupported-kinds.ts
@@ -1,20 +1,20 @@
 /**
- * Kinds of questions that a node of an older build does not know. A life of a process has connections
- * of its own, so what it told holds while the connection is open over which it told it; after that
- * the question is asked once more.
+ * Remembers which kinds of requests the nodes of older builds do not support. An entry is valid while
+ * the connection over which the node reported it is open, since a restarted process may run a newer
+ * build.
  */
 import type { Socket } from 'node:net';
 
-/** What some nodes do not know. */
+/** Unsupported kinds by address. */
 export class UnsupportedKinds {
   private readonly kinds = new Map<string, Set<string>>();
 
-  /** Whether the process at an address told that it does not know a kind. */
+  /** Whether the process at an address is known not to support a kind. */
   has(address: string, kind: string): boolean {
     return this.kinds.get(address)?.has(kind) ?? false;
   }
 
-  /** The process at an address does not know a kind, as it told over a connection. */
+  /** Records an unsupported kind until the connection closes. */
   note(address: string, kind: string, connection: Socket): void {
     if (connection.destroyed) return;
     const known = this.kinds.get(address) ?? new Set();
--- a/test/peers/kept-connections.test.ts
+++ b/test/peers/keep-alive-agent.test.ts
@@ -1,29 +1,24 @@
-/**
- * The same cause at another place: each idle connection to a place has a wait of its own. Where all
- * open connections have gone silent, each call takes one of them and waits in full, though a new
- * connection would be answered at once. Evidence: this test, where as many calls failed as there
- * were idle connections.
- */
+/** Guards against one timeout per idle connection when all pooled connections are dead. */
 import http from 'node:http';
 import type { AddressInfo, Socket } from 'node:net';
 import { stringify } from 'devalue';
 import t from 'tap';
 import { exchangeJson } from '../../platform/json-exchange.js';
-import { KeptConnections } from '../../src/peers/kept-connections.js';
+import { KeepAliveAgent } from '../../src/peers/keep-alive-agent.js';
 import { PeerClient } from '../../src/peers/peer-client.js';
 import { PROCESS_CLOCK } from '../../src/serving/clock.js';
 
 const CONNECTIONS = 4;
-const LIMIT = 100;
+const TIMEOUT = 100;
 
-/** Answers all calls with one body, but for those over connections that it was told to ignore. */
-async function deafServer(test: Pick<typeof t, 'teardown'>, body: string) {
+/** Answers all calls with one body, except on connections that were silenced. */
+async function silenceableServer(test: Pick<typeof t, 'teardown'>, body: string) {
   const open = new Set<Socket>();
-  const ignored = new Set<Socket>();
+  const silenced = new Set<Socket>();
   const server = http.createServer((request, response) => {
     request.resume();
-    if (ignored.has(request.socket)) return;
-    // Late enough for calls that come together to take a connection each.
+    if (silenced.has(request.socket)) return;
+    // The delay makes concurrent calls open one connection each.
     setTimeout(() => response.end(body), 20);
   });
   server.on('connection', (socket) => open.add(socket));
@@ -34,31 +29,31 @@
   });
   return {
     address: `127.0.0.1:${(server.address() as AddressInfo).port}`,
-    /** All connections that are open now are read no more. */
+    /** Stops answering on all connections that are open now. */
     ignoreOpen: () => {
-      for (const socket of open) ignored.add(socket);
+      for (const socket of open) silenced.add(socket);
     },
   };
 }
 
 t.test('one silent call to a peer is followed by a new connection', async (t) => {
-  const server = await deafServer(t, stringify({ isTaken: true }));
+  const server = await silenceableServer(t, stringify({ isTaken: true }));
   const client = new PeerClient();
   t.teardown(() => client.stop());
-  const ask = () =>
-    client.request<'take-job'>(server.address, { kind: 'take-job', job: 'job' }, LIMIT);
-  const opened = await Promise.all(Array.from({ length: CONNECTIONS }, ask));
+  const request = () =>
+    client.request<'take-job'>(server.address, { kind: 'take-job', job: 'job' }, TIMEOUT);
+  const opened = await Promise.all(Array.from({ length: CONNECTIONS }, request));
   t.ok(opened.every((outcome) => outcome.kind === 'answered'));
   server.ignoreOpen();
-  t.same(await ask(), { kind: 'silent' });
-  t.equal((await ask()).kind, 'answered');
+  t.same(await request(), { kind: 'silent' });
+  t.equal((await request()).kind, 'answered');
 });
 
 t.test('one silent call to the platform is followed by a new connection', async (t) => {
-  const server = await deafServer(t, '{}');
-  const agent = new KeptConnections();
+  const server = await silenceableServer(t, '{}');
+  const agent = new KeepAliveAgent();
   t.teardown(() => agent.destroy());
-  const call = { agent, address: server.address, method: 'GET', path: '/', timeout: LIMIT };
+  const call = { agent, address: server.address, method: 'GET', path: '/', timeout: TIMEOUT };
   const opened = await Promise.all(Array.from({ length: CONNECTIONS }, () => exchangeJson(call)));
   t.ok(opened.every((outcome) => outcome.kind === 'answered'));
   await PROCESS_CLOCK.sleep(20);
--- a/test/peers/peer-server.test.ts
+++ b/test/peers/peer-server.test.ts
@@ -5,7 +5,7 @@
 
 const OWNER = { node: 'node-1', incarnation: 'life-1', address: '127.0.0.1:1' };
 
-t.test('a question whose answer fails is told of, and counts as silence', async (t) => {
+t.test('a failed request is reported, and its sender gets no answer', async (t) => {
   const faults: unknown[] = [];
   const handler: PeerHandler = {
     answer: async (request) => {
@@ -31,7 +31,7 @@
   });
 });
 
-t.test('an answer that is given to many is written once', async (t) => {
+t.test('an answer to many requests is encoded once', async (t) => {
   let reads = 0;
   const shared = {
     get isTaken(): boolean {
@@ -46,10 +46,10 @@
     client.stop();
     server.stop();
   });
-  const ask = () =>
+  const request = () =>
     client.request<'take-job'>(`127.0.0.1:${port}`, { kind: 'take-job', job: 'job' }, 1_000);
-  t.same(await ask(), { kind: 'answered', answer: { isTaken: true } });
+  t.same(await request(), { kind: 'answered', answer: { isTaken: true } });
   const readsOfOne = reads;
-  t.same(await ask(), { kind: 'answered', answer: { isTaken: true } });
+  t.same(await request(), { kind: 'answered', answer: { isTaken: true } });
   t.equal(reads, readsOfOne);
 });
