--- a/test/platform-adapter/configuration.test.ts
+++ b/test/platform-adapter/configuration.test.ts
@@ -40,7 +40,7 @@
   },
 };
 
-t.test('routes, services and limits are read', async (t) => {
+t.test('routes, services and limits are parsed', async (t) => {
   const parsed = parseConfiguration(JSON.stringify(CONFIGURATION));
   t.equal(parsed?.version, 7);
   const [look, draw] = parsed?.routes ?? [];
@@ -52,7 +52,7 @@
   t.equal(parsed?.limits.idleTimeout, 4);
 });
 
-t.test('a configuration that cannot be read is none, and is told by its key', async (t) => {
+t.test('an invalid configuration is reported as unreadable, with its key', async (t) => {
   const unknownKind = { ...CONFIGURATION, routes: [{ ...CONFIGURATION.routes[0], kind: 'odd' }] };
   for (const text of ['', 'not json', '{}', JSON.stringify(unknownKind)]) {
     t.equal(parseConfiguration(text), undefined);
@@ -61,7 +61,7 @@
   }
 });
 
-t.test('a worker that is not ready takes no new work', async (t) => {
+t.test('a worker that is not ready is draining', async (t) => {
   const record = { service: 'one', address: '10.0.0.1:80', zone: 'z', slots: 16, sequence: 4 };
   const ready = parseWorker('i-1', JSON.stringify({ ...record, state: 'ready' }));
   t.match(ready, { id: 'i-1', draining: false, slots: 16, models: [] });
@@ -69,7 +69,7 @@
   t.equal(leaving?.draining, true);
 });
 
-t.test('keys are told apart', async (t) => {
+t.test('keys map to events', async (t) => {
   const event = (key: string, value?: string) =>
     FEED_TRANSLATION.translate({ key, value, revision: 1 });
   t.same(event('servers/i-1'), { kind: 'worker-gone', worker: 'i-1' });
@@ -85,7 +85,7 @@
   t.equal(event('op/other', '{}'), undefined);
 });
 
-t.test('tenants are read with digests of their keys, and routes that need none', async (t) => {
+t.test('tenants are parsed with digests of their keys, and public routes', async (t) => {
   const tenants = [
     { name: 'north', api_keys: ['key-1', 'key-2'], priority: 1 },
     { name: 'south', api_keys: [] },
@@ -102,7 +102,7 @@
   t.equal(parseConfiguration(JSON.stringify(CONFIGURATION))?.tenants, undefined);
 });
 
-t.test('the limits of a service whose workers may be ordered are read', async (t) => {
+t.test('scaling limits of services are parsed', async (t) => {
   const scaling = { min: 1, max: 21, boot_s: 4, spot_price: 0.18, zone_prices: { a: 1, b: 0.8 } };
   const services = [{ name: 'one', scaling }, { name: 'two' }];
   const parsed = parseConfiguration(JSON.stringify({ ...CONFIGURATION, services }));
@@ -115,7 +115,7 @@
   t.equal(parsed?.services[1]?.scaling, undefined);
 });
 
-t.test('entries of other writers name no worker', async (t) => {
+t.test('malformed worker records are reported as unreadable', async (t) => {
   const record = { service: 'one', address: '10.0.0.1:80', zone: 'z', state: 'ready' };
   t.equal(
     parseWorker('i-1', JSON.stringify({ ...record, born: 1_700_000_000_000 }))?.startedAt,
@@ -143,7 +143,7 @@
   }
 });
 
-t.test('regions of routes and tenants, and cold starts of services, are read', async (t) => {
+t.test('regions of routes and tenants, and cold starts of services, are parsed', async (t) => {
   const [look, draw] = CONFIGURATION.routes;
   const parsed = parseConfiguration(
     JSON.stringify({
@@ -168,11 +168,8 @@
   );
 });
 
-/**
- * Seen on a copy of a site with walls on three of its four routes: the fourth, with an empty list, was
- * refused all day, and so were the routes that configurations added.
- */
-t.test('an empty list of regions limits nothing', async (t) => {
+/** Guards against rejecting all requests of a route whose list of regions is empty. */
+t.test('an empty list of regions allows all regions', async (t) => {
   const routes = CONFIGURATION.routes.map((route) => ({ ...route, allowed_regions: [] }));
   const tenants = [{ name: 'a', api_keys: ['k'], allowed_regions: [] }];
   const parsed = parseConfiguration(JSON.stringify({ ...CONFIGURATION, routes, tenants }));
@@ -183,14 +180,14 @@
   t.equal(parsed?.tenants?.[0]?.allowedRegions, undefined);
 });
 
-t.test('how long a worker stays cold is read, and unknown where it is not told', async (t) => {
+t.test('the remaining cold time of a worker is optional', async (t) => {
   const entry = { service: 'one', address: '10.0.0.1:80', zone: 'hall-1', state: 'ready' };
   const told = parseWorker('w', JSON.stringify({ ...entry, cold_remaining_ms: 1_200 }));
   t.equal(told?.coldFor, 1_200);
   t.equal(parseWorker('w', JSON.stringify(entry))?.coldFor, undefined);
 });
 
-t.test('an evacuation begins with its key and ends as the key goes', async (t) => {
+t.test('a zone is evacuated while its key exists', async (t) => {
   const key = 'op/evacuate/hall-1';
   const change = (value: string | undefined) => ({ key, value, revision: 4 });
   const begun = FEED_TRANSLATION.translate(change('{}'));
--- a/test/platform-adapter/engine-client.test.ts
+++ b/test/platform-adapter/engine-client.test.ts
@@ -5,18 +5,21 @@
 import type { EngineOutcome, EngineRequest } from '../../src/serving/engine-port.js';
 import { worker } from '../serving/serving-fixtures.js';
 
-/** What the stand-in worker writes for each request that it reads, as raw bytes. */
+/** Writes the raw response of the stub worker to one request. */
 type Script = (requestId: string, socket: net.Socket) => void;
 
-interface StandIn {
+interface WorkerStub {
   readonly client: EngineClient;
   readonly requests: string[];
-  /** Connections that were opened. */
+  /** Number of connections opened so far. */
   connections(): number;
   send(fields?: Partial<EngineRequest>, signal?: AbortSignal): Promise<EngineOutcome>;
 }
 
-async function standIn(test: Pick<typeof t, 'teardown'>, ...scripts: Script[]): Promise<StandIn> {
+async function startWorker(
+  test: Pick<typeof t, 'teardown'>,
+  ...scripts: Script[]
+): Promise<WorkerStub> {
   const requests: string[] = [];
   const sockets = new Set<net.Socket>();
   let opened = 0;
@@ -46,7 +49,7 @@
     server.close();
   });
   let sent = 0;
-  const send: StandIn['send'] = (fields = {}, signal = new AbortController().signal) => {
+  const send: WorkerStub['send'] = (fields = {}, signal = new AbortController().signal) => {
     sent += 1;
     const request: EngineRequest = {
       worker: target,
@@ -90,8 +93,8 @@
   return Buffer.concat(chunks).toString();
 }
 
-t.test('a request travels with its own headers and those of the system', async (t) => {
-  const worker = await standIn(t, answers('reply', 'X-Wardwing-Server-Load: 3,1,8'));
+t.test('a request carries headers of the caller and those of the adapter', async (t) => {
+  const worker = await startWorker(t, answers('reply', 'X-Wardwing-Server-Load: 3,1,8'));
   const outcome = await worker.send();
   t.equal(await bodyOf(outcome), 'reply');
   t.same(outcome.kind === 'answered' && outcome.load, { running: 3, waiting: 1, slots: 8 });
@@ -106,17 +109,17 @@
   t.match(sent, /\r\n\r\nquestion$/);
 });
 
-t.test('a connection is used again after a whole answer', async (t) => {
-  const worker = await standIn(t, answers('one'), answers('two'));
+t.test('a connection is reused after a complete response', async (t) => {
+  const worker = await startWorker(t, answers('one'), answers('two'));
   t.equal(await bodyOf(await worker.send()), 'one');
   await new Promise((resolve) => setTimeout(resolve, 10));
   t.equal(await bodyOf(await worker.send()), 'two');
   t.equal(worker.connections(), 1);
 });
 
-t.test('a request that asks for it goes over a connection of its own', async (t) => {
+t.test('a request can use a new connection', async (t) => {
   const silent: Script = () => {};
-  const worker = await standIn(t, answers('one'), answers('two'), silent, answers('four'));
+  const worker = await startWorker(t, answers('one'), answers('two'), silent, answers('four'));
   const kept = await Promise.all([worker.send(), worker.send()]);
   t.same(await Promise.all(kept.map(bodyOf)), ['one', 'two']);
   await new Promise((resolve) => setTimeout(resolve, 10));
@@ -124,47 +127,47 @@
   const lost = worker.send({}, abort.signal);
   const found = await worker.send({ wantsNewConnection: true });
   t.equal(await bodyOf(found), 'four');
-  t.equal(worker.connections(), 3, 'the other kept one was left alone');
+  t.equal(worker.connections(), 3, 'the other pooled connection stays open');
   abort.abort();
   t.match(await lost, { kind: 'failed', cause: 'cancelled' });
 });
 
-t.test('only the mark of a refusal promises that nothing ran', async (t) => {
+t.test('only a marked rejection guarantees that nothing ran', async (t) => {
   const refusal: Script = (_id, socket) =>
     socket.write(reply('503 Service Unavailable', ['X-Wardwing-Not-Run: 1'], ''));
   const moved: Script = (_id, socket) => socket.write(reply('421 Misdirected Request', [], ''));
   const unmarked: Script = (_id, socket) => socket.write(reply('503 Service Unavailable', [], ''));
-  const worker = await standIn(t, refusal, moved, unmarked);
+  const worker = await startWorker(t, refusal, moved, unmarked);
   t.match(await worker.send(), { kind: 'not-run', reason: 'full' });
   t.match(await worker.send(), { kind: 'not-run', reason: 'gone' });
   t.match(await worker.send(), { kind: 'failed', mayHaveRun: true, cause: 'wrong-answer' });
 });
 
-t.test('an answer to another request, or without a signature, is never passed on', async (t) => {
+t.test('a response to another request, or without a signature, is never forwarded', async (t) => {
   const other: Script = (_id, socket) =>
     socket.write(reply('200 OK', stamped('another-request'), 'stale'));
   const unsigned: Script = (id, socket) =>
     socket.write(reply('200 OK', [`X-Wardwing-Request-Id: ${id}`], 'odd'));
-  const worker = await standIn(t, other, unsigned, answers('fine'));
+  const worker = await startWorker(t, other, unsigned, answers('fine'));
   t.match(await worker.send(), { kind: 'failed', cause: 'wrong-answer' });
   t.match(await worker.send(), { kind: 'failed', cause: 'wrong-answer' });
   t.equal(await bodyOf(await worker.send()), 'fine');
-  t.equal(worker.connections(), 3, 'each odd connection was closed');
+  t.equal(worker.connections(), 3, 'each connection with an invalid response was closed');
 });
 
-t.test('a second answer on a connection is never taken for the next one', async (t) => {
+t.test('a surplus response is never matched to the next request', async (t) => {
   const twice: Script = (id, socket) => {
     socket.write(reply('200 OK', stamped(id), 'one'));
     setTimeout(() => socket.write(reply('200 OK', stamped(id), 'surplus')), 10);
   };
-  const worker = await standIn(t, twice, answers('two'));
+  const worker = await startWorker(t, twice, answers('two'));
   t.equal(await bodyOf(await worker.send()), 'one');
   await new Promise((resolve) => setTimeout(resolve, 40));
   t.equal(await bodyOf(await worker.send()), 'two');
   t.equal(worker.connections(), 2);
 });
 
-t.test('an answer that breaks off is not whole, however it is framed', async (t) => {
+t.test('a truncated response fails with and without a content length', async (t) => {
   const short: Script = (id, socket) => {
     const head = reply('200 OK', stamped(id), 'x'.repeat(100)).slice(0, -50);
     socket.write(head, () => socket.destroy());
@@ -173,26 +176,26 @@
     const head = `HTTP/1.1 200 OK\r\n${stamped(id).join('\r\n')}\r\n\r\npart`;
     socket.write(head, () => setTimeout(() => socket.resetAndDestroy(), 10));
   };
-  const worker = await standIn(t, short, reset);
+  const worker = await startWorker(t, short, reset);
   t.equal(await bodyOf(await worker.send()), 'broken off');
   t.equal(await bodyOf(await worker.send()), 'broken off');
 });
 
-t.test('an answer without a length is whole when its connection ends well', async (t) => {
+t.test('a response without a length is complete if its connection ends normally', async (t) => {
   const unframed: Script = (id, socket) => {
     socket.end(`HTTP/1.1 200 OK\r\n${stamped(id).join('\r\n')}\r\n\r\nall of it`);
   };
-  const worker = await standIn(t, unframed);
+  const worker = await startWorker(t, unframed);
   t.equal(await bodyOf(await worker.send()), 'all of it');
 });
 
-t.test('bytes that are no answer are a failure after which the work may have run', async (t) => {
+t.test('after a malformed response the work may have run', async (t) => {
   const noise: Script = (_id, socket) => socket.write('this is no answer\r\n\r\n');
-  const worker = await standIn(t, noise);
+  const worker = await startWorker(t, noise);
   t.match(await worker.send(), { kind: 'failed', mayHaveRun: true, cause: 'broken' });
 });
 
-t.test('a worker that nobody reaches cannot have run the work', async (t) => {
+t.test('after a refused connection the work cannot have run', async (t) => {
   const client = new EngineClient();
   const server = net.createServer().listen(0, '127.0.0.1');
   await new Promise((resolve) => server.once('listening', resolve));
@@ -218,7 +221,7 @@
     closed = resolve;
   });
   const silent: Script = (_id, socket) => socket.once('close', closed);
-  const worker = await standIn(t, silent);
+  const worker = await startWorker(t, silent);
   const abort = new AbortController();
   const outcome = worker.send({}, abort.signal);
   setTimeout(() => abort.abort(), 20);
@@ -226,7 +229,7 @@
   await isClosed;
 });
 
-t.test('a connection whose answer came before the whole request is never used again', async (t) => {
+t.test('a connection with a response before the end of the request is not reused', async (t) => {
   let opened = 0;
   const sockets = new Set<net.Socket>();
   const server = net.createServer((socket) => {
@@ -264,7 +267,7 @@
   t.equal(opened, 2);
 });
 
-t.test('a report of another shape is none, and is told of', async (t) => {
+t.test('a report of another shape is ignored and reported as unreadable', async (t) => {
   const server = net.createServer((socket) => {
     socket.on('error', () => {});
     socket.once('data', () => socket.end('HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}'));
@@ -284,25 +287,22 @@
   t.equal(told, 1);
 });
 
-t.test(
-  'the worker is told the tenant, whatever the caller sent, and never sees a key',
-  async (t) => {
-    const fixture = await standIn(t, (id, socket) =>
-      socket.write(reply('200 OK', stamped(id), 'ok')),
-    );
-    const headers = [
-      ...['X-WARDWING-TENANT', 'forged', 'x-wardwing-tenant', 'forged', 'X-Own', 'kept'],
-      ...['X-Wardwing-Key', 'secret-1', 'x-wardwing-KEY', 'secret-2'],
-    ];
-    await fixture.send({ headers, tenant: 'north' });
-    const [request = ''] = fixture.requests;
-    t.same(request.match(/x-wardwing-tenant: (.*)/gi), ['x-wardwing-tenant: north']);
-    t.notMatch(request, /secret|forged/);
-    t.match(request, /X-Own: kept/);
-  },
-);
+t.test('the worker receives the tenant from the gateway only, and never a key', async (t) => {
+  const fixture = await startWorker(t, (id, socket) =>
+    socket.write(reply('200 OK', stamped(id), 'ok')),
+  );
+  const headers = [
+    ...['X-WARDWING-TENANT', 'forged', 'x-wardwing-tenant', 'forged', 'X-Own', 'kept'],
+    ...['X-Wardwing-Key', 'secret-1', 'x-wardwing-KEY', 'secret-2'],
+  ];
+  await fixture.send({ headers, tenant: 'north' });
+  const [request = ''] = fixture.requests;
+  t.same(request.match(/x-wardwing-tenant: (.*)/gi), ['x-wardwing-tenant: north']);
+  t.notMatch(request, /secret|forged/);
+  t.match(request, /X-Own: kept/);
+});
 
-t.test('a worker that started again under its id is another life', async (t) => {
+t.test('a worker that restarted under its id is another incarnation', async (t) => {
   const report = { models: [], busy: false, sequence: 0, waiting: 0, running: 0, born: 2_000 };
   const server = http.createServer((request, response) => {
     const isReport = request.url === '/wardwing/report';
@@ -317,10 +317,10 @@
     server.close();
   });
   const address = `127.0.0.1:${port}`;
-  const standingOf = (startedAt?: number) =>
+  const livenessOf = (startedAt?: number) =>
     client.probeLiveness(worker('i-1', { address, startedAt }), '/health');
-  t.equal(await standingOf(1_000), 'ended');
-  t.equal(await standingOf(2_000), 'lives');
-  t.equal(await standingOf(), 'lives');
+  t.equal(await livenessOf(1_000), 'ended');
+  t.equal(await livenessOf(2_000), 'lives');
+  t.equal(await livenessOf(), 'lives');
   t.equal((await client.report(worker('i-1', { address })))?.startedAt, 2_000);
 });
--- a/test/platform-adapter/ingress.test.ts
+++ b/test/platform-adapter/ingress.test.ts
@@ -61,7 +61,7 @@
   call(method: string, path: string, body?: string, headers?: object): Promise<Answer>;
 }
 
-const PORT_OF_ANY = '127.0.0.1:0';
+const ANY_PORT = '127.0.0.1:0';
 
 async function gateway(test: Pick<typeof t, 'teardown'>, ...scripts: Script[]): Promise<Fixture> {
   const store = new SharedStoreEmulator();
@@ -89,7 +89,7 @@
     storageDrains: storageDrainPort(store),
   });
   const server = new Ingress(node, clock);
-  const port = await server.listen(PORT_OF_ANY);
+  const port = await server.listen(ANY_PORT);
   node.start();
   test.teardown(async () => {
     server.close();
@@ -140,7 +140,7 @@
     })),
   });
 
-t.test('before any configuration the answer is "come back", never "not found"', async (t) => {
+t.test('without a configuration the response is 503 with a retry delay, never 404', async (t) => {
   const { node, call } = await gateway(t);
   const early = await call('GET', '/look/x');
   t.equal(early.status, 503);
@@ -148,7 +148,7 @@
   t.notOk(node.isReady);
 });
 
-t.test('requests are routed; what no route matches is not found', async (t) => {
+t.test('requests are routed; an unmatched path is not found', async (t) => {
   const { call, engine } = await configured(t, answer('reply'));
   const found = await call('POST', '/look/x?y=1', 'question', { 'x-wardwing-deadline-ms': '900' });
   t.equal(found.status, 200);
@@ -158,7 +158,7 @@
   t.equal((await call('GET', '/none/x')).status, 404);
 });
 
-t.test('a job goes in, is run, read, asked for a body and ended', async (t) => {
+t.test('a job is submitted, run, read, queried for an item body and cancelled', async (t) => {
   const stream = answer(events(0, 'ab'), { isStream: true });
   const { call, engine } = await configured(t, stream);
   const taken = await call('POST', '/draw/submit', submission(1), {
@@ -168,7 +168,7 @@
   const again = await call('POST', '/draw/submit', submission(1), {
     'x-wardwing-request-id': 'job-1',
   });
-  t.equal(again.status, 202, 'the same job again is taken once');
+  t.equal(again.status, 202, 'a repeated submission is accepted once');
   let read = await call('GET', '/wardwing/lots/job-1?after_revision=0');
   while (JSON.parse(read.body).results.length === 0) {
     read = await call('GET', '/wardwing/lots/job-1?after_revision=0', '', {
@@ -188,7 +188,7 @@
   t.equal((await call('GET', '/wardwing/lots/none?after_revision=0')).status, 404);
 });
 
-t.test('bad input gets a clear answer and changes nothing', async (t) => {
+t.test('invalid input is rejected and has no effect', async (t) => {
   const { call, store } = await configured(t);
   t.equal((await call('POST', '/draw/submit', 'not json')).status, 400);
   const missing = await call('POST', '/draw/submit', '{"requests":[{"path":"/draw/1"}]}');
@@ -200,17 +200,17 @@
   t.same(store.keys('job/'), []);
 });
 
-t.test('an unreadable configuration leaves the last good one in force', async (t) => {
+t.test('an invalid configuration leaves the last valid one in force', async (t) => {
   const { call, store, node } = await configured(t, answer('one'), answer('two'));
   store.write('op/config', 'not a configuration');
   store.write('op/version/m', '{"model":"m","version":2}');
   store.write('op/config', JSON.stringify({ ...CONFIGURATION, version: 2 }));
   await eventually(() => store.calls.get('watch') !== undefined);
   t.equal((await call('GET', '/look/x')).status, 200);
-  t.equal(node.configuration.version, 3, 'an older version never comes back');
+  t.equal(node.configuration.version, 3, 'an older version is never applied');
 });
 
-t.test('an item with a scorer is listed with the signature of its score alone', async (t) => {
+t.test('an item with a scorer is listed with the signature of its score only', async (t) => {
   const stream = answer(events(0, 'ab'), { isStream: true, signature: 'of the text' });
   const score = answer('judged', { signature: 'of the score' });
   const { call, engine } = await configured(t, stream, score);
@@ -231,7 +231,7 @@
   t.equal(engine.requests[1]?.body.toString(), 'judge');
 });
 
-t.test('a scorer that is not readable is refused with its key', async (t) => {
+t.test('an invalid scorer is rejected with the name of its field', async (t) => {
   const { call } = await configured(t);
   const job = JSON.parse(submission(1));
   job.requests[0].scorer = { id: 'score-1', host: 'h', path: 'no slash' };
@@ -263,7 +263,7 @@
   return fixture;
 }
 
-t.test('a key is asked for, checked, and names the tenant to the worker', async (t) => {
+t.test('a key is required and checked, and determines the tenant sent to the worker', async (t) => {
   const fixture = await withTenants(t, answer('one'), answer('two'));
   t.equal((await fixture.call('POST', '/look/x')).status, 401);
   t.equal((await fixture.call('POST', '/look/x', '', { 'x-wardwing-key': 'wrong' })).status, 401);
@@ -275,7 +275,7 @@
   t.equal(fixture.engine.requests[1]?.tenant, undefined);
 });
 
-t.test('a key that was taken away is refused on a kept connection too', async (t) => {
+t.test('a revoked key is rejected', async (t) => {
   const fixture = await withTenants(t, answer('one'));
   const key = { 'x-wardwing-key': 'south-1' };
   t.equal((await fixture.call('POST', '/look/x', '', key)).status, 200);
@@ -290,7 +290,7 @@
   t.equal((await fixture.call('POST', '/look/x', '', key)).status, 401);
 });
 
-t.test('a job is answered for with any key of its tenant, and with no other', async (t) => {
+t.test('a job is accessible with any key of its tenant, and with no other', async (t) => {
   const fixture = await withTenants(t, answer(events(0, 'ab'), { isStream: true }));
   const key = (value: string): object => ({ 'x-wardwing-key': value });
   t.equal((await fixture.call('POST', '/draw/1', submission(1))).status, 401);
@@ -303,7 +303,7 @@
   t.equal((await fixture.call('DELETE', path, '', key('north-2'))).status, 200);
 });
 
-t.test('a node without a configuration refuses no key', async (t) => {
+t.test('a node without a configuration rejects no key', async (t) => {
   const fixture = await gateway(t);
   const key = { 'x-wardwing-key': 'any' };
   t.equal((await fixture.call('POST', '/look/x', '', key)).status, 503);
--- a/test/platform-adapter/settings.test.ts
+++ b/test/platform-adapter/settings.test.ts
@@ -23,7 +23,7 @@
   'some.new.field=1,2,3',
 ];
 
-t.test('fields are read under the names of the product, unknown ones passed over', async (t) => {
+t.test('known fields are parsed, and unknown ones are ignored', async (t) => {
   t.same(parseSettings(LINES.join('\n')), {
     node: 'front-1',
     zone: 'hall-1',
@@ -54,14 +54,14 @@
   });
 });
 
-t.test('settings that name no regions and no cold starts leave both out', async (t) => {
+t.test('regions and cold tolerance are optional', async (t) => {
   const lines = LINES.filter((line) => !/^(zones|bounds\.cold)/.test(line));
   const settings = parseSettings(lines.join('\n'));
   t.equal(settings.zoneRegions.size, 0);
   t.same(settings.coldTolerance, { factor: 1, requests: 0 });
 });
 
-t.test('figures may be fractions', async (t) => {
+t.test('numbers may be fractions', async (t) => {
   const lines = LINES.map((line) => line.replace('grace_s=6', 'grace_s=6.5'));
   t.equal(parseSettings(lines.join('\n')).timings.stopLimit, 6_500);
 });
@@ -74,7 +74,7 @@
   t.throws(() => parseSettings(malformed.join('\n')), /bounds\.grace_s/);
 });
 
-t.test('the duties towards the cloud interface are read where there is one', async (t) => {
+t.test('the tasks at the cloud interface are parsed', async (t) => {
   const cloud = [
     'cloud_api.address=10.0.0.8:8560',
     'cloud_api.duties=usage_report,scaling',
@@ -90,7 +90,7 @@
   t.equal(parseSettings([...LINES, ...oneDuty].join('\n')).cloud?.usage, undefined);
 });
 
-t.test('zones serve alone where the loss of one is to be borne', async (t) => {
+t.test('zones operate autonomously if the loss of a zone must be tolerated', async (t) => {
   const zoneLosses = (zones: number) => [...LINES, `fault_tolerance.zones=${zones}`].join('\n');
   t.equal(parseSettings(zoneLosses(1)).zonesServeAlone, true);
   t.equal(parseSettings(zoneLosses(0)).zonesServeAlone, false);
--- a/test/platform-adapter/store-client.test.ts
+++ b/test/platform-adapter/store-client.test.ts
@@ -9,10 +9,10 @@
   readonly body: string;
 }
 
-/** What the stand-in does with a call; `cut` drops the connection without an answer. */
+/** Response of the stub to a call; `cut` closes the connection without an answer. */
 type Reply = { readonly status: number; readonly body?: unknown } | 'cut';
 
-async function store(
+async function startStore(
   test: Pick<typeof t, 'teardown'>,
   ...replies: Reply[]
 ): Promise<{ client: StoreClient; calls: Call[]; unreadable: string[] }> {
@@ -41,9 +41,9 @@
 
 const base64 = (text: string): string => Buffer.from(text).toString('base64');
 
-t.test('a key is read, or is not there', async (t) => {
+t.test('a key is read, or is absent', async (t) => {
   const body = { tls_key: 'a', value: base64('one'), revision: 4, made: 4, lease: 0, at: 9 };
-  const { client, calls } = await store(t, { status: 200, body }, { status: 404 });
+  const { client, calls } = await startStore(t, { status: 200, body }, { status: 404 });
   const found = await client.get('a');
   t.same(found, { kind: 'item', item: { key: 'a', value: 'one', revision: 4 } });
   t.same(await client.get('b'), { kind: 'item', item: undefined });
@@ -52,23 +52,27 @@
 
 t.test('a long range is read page by page', async (t) => {
   const item = (key: string) => ({ tls_key: key, value: base64(key), revision: 1 });
-  const { client, calls } = await store(
+  const { client, calls } = await startStore(
     t,
     { status: 200, body: { requests: [item('p/1'), item('p/2')], more: true, at: 5 } },
     { status: 200, body: { requests: [item('p/3')], more: false, at: 6 } },
   );
   const range = await client.range('p/');
   t.equal(range.kind === 'items' && range.items.map((entry) => entry.key).join(), 'p/1,p/2,p/3');
-  t.equal(range.kind === 'items' && range.revision, 5, 'a watch goes on from the first page');
+  t.equal(
+    range.kind === 'items' && range.revision,
+    5,
+    'a watch continues from the revision of the first page',
+  );
   t.match(calls[1]?.url, /after_revision=p%2F2/);
 });
 
-t.test('a watch tells changes, deletions and lost history', async (t) => {
+t.test('a watch reports changes, deletions and compacted history', async (t) => {
   const events = [
     { tls_key: 'p/1', value: base64('x'), revision: 7 },
     { tls_key: 'p/2', revision: 8, gone: true },
   ];
-  const { client, calls } = await store(
+  const { client, calls } = await startStore(
     t,
     { status: 200, body: { events, at: 8 } },
     { status: 410 },
@@ -87,7 +91,7 @@
 });
 
 t.test('a commit carries conditions, writes and removals', async (t) => {
-  const { client, calls } = await store(
+  const { client, calls } = await startStore(
     t,
     { status: 200, body: { revision: 12 } },
     { status: 412, body: { requests: [] } },
@@ -108,8 +112,8 @@
   t.same(await client.commit(commit), { kind: 'lease-gone' });
 });
 
-t.test('what was surely not done is told apart from what may have been', async (t) => {
-  const { client } = await store(t, { status: 503 }, { status: 429 }, 'cut', { status: 500 });
+t.test('failures without effect are distinguished from unknown outcomes', async (t) => {
+  const { client } = await startStore(t, { status: 503 }, { status: 429 }, 'cut', { status: 500 });
   const commit = { expected: [], remove: ['a'] };
   t.same(await client.commit(commit), { kind: 'failed', effect: 'not-done' });
   t.same(await client.commit(commit), { kind: 'failed', effect: 'not-done' });
@@ -117,8 +121,8 @@
   t.same(await client.commit(commit), { kind: 'failed', effect: 'unknown' });
 });
 
-t.test('leases are granted, renewed and found to be over', async (t) => {
-  const { client, calls } = await store(
+t.test('leases are granted and renewed, and expire', async (t) => {
+  const { client, calls } = await startStore(
     t,
     { status: 200, body: { lease: 77, ttl_ms: 2_000 } },
     { status: 200, body: { ttl_ms: 2_000 } },
@@ -130,9 +134,9 @@
   t.equal(calls[1]?.url, '/wardwing/kv-keep/77');
 });
 
-t.test('a good answer of another shape is told of, a refusal is not', async (t) => {
+t.test('a successful answer of another shape is reported, a rejection is not', async (t) => {
   const odd = { status: 200, body: { other: 1 } };
-  const { client, unreadable } = await store(t, odd, odd, odd, odd, { status: 503 });
+  const { client, unreadable } = await startStore(t, odd, odd, odd, odd, { status: 503 });
   t.match(await client.get('a'), { kind: 'failed' });
   t.match(await client.range('p/'), { kind: 'failed' });
   t.match(await client.commit({ expected: [] }), { kind: 'failed', effect: 'unknown' });
