--- a/src/fleet/coordination.ts
+++ b/src/fleet/coordination.ts
@@ -1,6 +1,6 @@
 /**
- * What one node at a time does for the fleet, and every node's part in choosing it: the coordinator's
- * lock, the weights of workers, emptied storage nodes, and the duties towards the operator's cloud interface.
+ * This node's part in the singleton tasks of the fleet: election of the coordinator, weight
+ * rollouts, storage drains and the tasks on the operator's cloud interface.
  */
 import type { ModelName, NodeId, ZoneName } from '../core/identity.js';
 import type { Milliseconds, WeightVersion } from '../core/units.js';
@@ -18,11 +18,9 @@
 import { StorageDrains } from './storage-drains.js';
 import { type NamedVersion, WeightRollout } from './weight-rollout.js';
 
-/** Time between two sweeps for jobs without a live owner. */
-const SWEEP_INTERVAL: Milliseconds = 5_000;
+const UNOWNED_JOB_SCAN_INTERVAL: Milliseconds = 5_000;
 
-/** Time between two looks for jobs that need not be kept. */
-const REMOVAL_INTERVAL: Milliseconds = 60_000;
+const EXPIRED_REMOVAL_INTERVAL: Milliseconds = 60_000;
 
 /** Options of {@link Coordination}. */
 export interface CoordinationOptions {
@@ -33,27 +31,27 @@
   readonly peers: FleetPeers;
   readonly registry: WorkerRegistry;
   readonly configuration: ActiveConfiguration;
-  /** Whether the workers of a zone are sent no work for the time being. */
+  /** Whether a zone is evacuated, so that its workers receive no work. */
   readonly isEvacuated: (zone: ZoneName) => boolean;
   /** The zones or regions that serve their own callers; `undefined` where any node serves any caller. */
   readonly localities: Localities | undefined;
-  /** Whether nothing that must last lies on a storage machine alone. */
+  /** Whether a storage node holds no data that is durable only there. */
   readonly isStorageEmpty: (node: NodeId) => Promise<boolean>;
-  /** Finds jobs that nobody runs. */
+  /** Scans for jobs without a live owner and has them taken over. */
   readonly takeOverUnownedJobs: () => void;
-  /** Removes what need not be kept any longer. */
+  /** Removes expired jobs and crash records. */
   readonly removeExpired: () => void;
 }
 
-/** One node's part in coordinating the fleet. */
+/** Competes for the coordinator lock and runs the singleton tasks while this node holds it. */
 export class Coordination {
   readonly lock: CoordinatorLock;
   readonly singletonTasks: SingletonTasks | undefined;
   private readonly rollout: WeightRollout;
   private readonly drains: StorageDrains;
-  private readonly named = new Map<ModelName, NamedVersion>();
-  private nextSweepAt: Milliseconds = 0;
-  private nextRemovalAt: Milliseconds = REMOVAL_INTERVAL;
+  private readonly namedVersions = new Map<ModelName, NamedVersion>();
+  private nextUnownedJobScanAt: Milliseconds = 0;
+  private nextRemovalAt: Milliseconds = EXPIRED_REMOVAL_INTERVAL;
 
   constructor(private readonly options: CoordinationOptions) {
     const { node, fleet, configuration } = options;
@@ -62,7 +60,7 @@
     this.lock = new CoordinatorLock({
       ...shared,
       peers: node.peers,
-      handOverDelay: () => timings().coordinatorHandOver,
+      transferDelay: () => timings().coordinatorHandOver,
       areTokensChecked: () => timings().areTokensChecked,
     });
     const { lock } = this;
@@ -70,7 +68,7 @@
       ...shared,
       lock,
       holder: node.node,
-      namedVersions: this.named,
+      namedVersions: this.namedVersions,
       noteChange: (change) => options.peers.broadcastWeightChange(change),
       isConfigured: (service) => configuration.services.some(({ name }) => name === service),
       isEvacuated: ({ record }) => options.isEvacuated(record.zone),
@@ -89,64 +87,64 @@
     });
   }
 
-  /** The node that coordinates, as far as this one knows. */
+  /** The coordinator, as far as this node knows. */
   get holder(): NodeId | undefined {
     return this.lock.holder;
   }
 
-  /** Whether this node may act as the coordinator now. */
+  /** Whether this node holds a valid fencing token. */
   get isActive(): boolean {
     return this.lock.fencingToken() !== undefined;
   }
 
-  /** Begins to tell the holder of the duties what is counted here. */
+  /** Starts to report usage to the coordinator. */
   start(): void {
     this.singletonTasks?.start();
   }
 
-  /** Regular work. */
+  /** Runs the periodic work that is due. */
   tick(): void {
     this.lock.tick();
     this.rollout.tick();
     this.drains.tick();
     this.singletonTasks?.tick();
-    this.lookAfterJobs();
+    this.maintainJobs();
   }
 
-  /** A trainer named a version. */
+  /** Records a weight version that a trainer named and starts its rollout. */
   noteNamedVersion(model: ModelName, version: WeightVersion): void {
-    if (version <= (this.named.get(model)?.version ?? 0)) return;
+    if (version <= (this.namedVersions.get(model)?.version ?? 0)) return;
     const { clock, log } = this.options.node;
-    this.named.set(model, { version, namedAt: clock.now() });
+    this.namedVersions.set(model, { version, namedAt: clock.now() });
     log.state('version-named', { model, version });
     this.rollout.tick();
   }
 
-  /** A job needs weights of at least some version. */
+  /** Requests weights of at least some version for a job. */
   requireWeights(need: WeightNeed): void {
     this.rollout.requireWeights(need);
   }
 
-  /** The operator asks for a storage node to be emptied. */
+  /** Starts to drain a storage node. */
   drainStorage(node: NodeId): void {
     this.drains.request(node);
   }
 
-  /** After the last request has ended: nothing that was counted is lost. */
+  /** Sends the usage counts that are still buffered; called after the last request has ended. */
   async finish(): Promise<void> {
     await this.singletonTasks?.finish();
   }
 
-  private lookAfterJobs(): void {
-    const { node, takeOverUnownedJobs: sweep, removeExpired } = this.options;
+  private maintainJobs(): void {
+    const { node, takeOverUnownedJobs, removeExpired } = this.options;
     const now = node.clock.now();
     if (!this.isActive) return;
-    if (now >= this.nextSweepAt) {
-      this.nextSweepAt = now + SWEEP_INTERVAL;
-      sweep();
+    if (now >= this.nextUnownedJobScanAt) {
+      this.nextUnownedJobScanAt = now + UNOWNED_JOB_SCAN_INTERVAL;
+      takeOverUnownedJobs();
     }
     if (now >= this.nextRemovalAt) {
-      this.nextRemovalAt = now + REMOVAL_INTERVAL;
+      this.nextRemovalAt = now + EXPIRED_REMOVAL_INTERVAL;
       removeExpired();
     }
   }
--- a/src/fleet/coordinator-lock.ts
+++ b/src/fleet/coordinator-lock.ts
@@ -1,10 +1,7 @@
 /**
- * The lock of the fleet's coordinator: the one node that orders weights. Its key hangs on the
- * holder's lease; the fencing token is the revision at which the key was made, so it rises with
- * each holder. A token is used only while the very lease that the lock hangs on was renewed a short
- * time ago. A new holder waits until orders of the one before can no longer be under way, even if
- * the lock was taken away from a holder that could not learn of it. It asks that one to resign: a
- * holder that answers gives no more orders and tells when its last one ended, so the wait is shorter.
+ * Elects the coordinator, the one node that orders weight changes, with a lock key attached to the
+ * holder's lease; the fencing token is the revision at which the key was created. A new holder
+ * gives no order while one of the previous holder may still be in flight.
  */
 import { randomUUID } from 'node:crypto';
 import * as z from 'zod';
@@ -28,28 +25,28 @@
 const LOCK_KEY = `${FLEET_PREFIX}coordinator`;
 const TERM_KEY = `${FLEET_PREFIX}coordinator-term`;
 
-const LOCK = z.object({ node: z.string(), address: z.string(), nonce: z.string() });
+const LOCK_RECORD = z.object({ node: z.string(), address: z.string(), nonce: z.string() });
 
-/** Who holds the lock, or held it last. */
-type LockRecord = z.infer<typeof LOCK>;
+/** The current or the last holder of the lock. */
+type LockRecord = z.infer<typeof LOCK_RECORD>;
 
-/** Time by which each rank lets the nodes before it take a free lock. */
+/** Delay per rank before a node tries to acquire a free lock. */
 const RANK_DELAY: Milliseconds = 400;
 
-/** Time after a renewal of its lease was sent in which the holder may give orders. */
+/** Time after sending a renewal of its lease during which the holder may give orders. */
 export const FENCING_TOKEN_VALIDITY: Milliseconds = 1_000;
 
-/** Pause after an attempt that did not get the lock. */
-const RETRY_PAUSE: Milliseconds = 300;
+/** Delay after a failed attempt to acquire the lock. */
+const RETRY_DELAY: Milliseconds = 300;
 
-/** Time for the holder of before to answer. */
-const RESIGN_LIMIT: Milliseconds = 400;
+/** Timeout of the request to resign to the previous holder. */
+const RESIGN_TIMEOUT: Milliseconds = 400;
 
-/** Time for which a holder that resigned leaves the lock to others. */
-const RESIGNED_PAUSE: Milliseconds = 3_000;
+/** Time during which a node that resigned does not try to acquire the lock. */
+const RESIGNED_BACKOFF: Milliseconds = 3_000;
 
-/** Kept beyond the least time between two holders' orders, as messages take some time. */
-const HAND_OVER_MARGIN: Milliseconds = 100;
+/** Added to the minimum time between two holders' orders, as messages take some time. */
+const TRANSFER_MARGIN: Milliseconds = 100;
 
 /** Options of {@link CoordinatorLock}. */
 export interface CoordinatorLockOptions {
@@ -59,49 +56,49 @@
   readonly peers: PeerPort;
   readonly clock: Clock;
   readonly log: DecisionLog;
-  /** Least time between the last order of one holder and the first of the next. */
-  readonly handOverDelay: () => Milliseconds;
-  /** Whether workers refuse orders under a lower token than they have seen. */
+  /** Minimum time between the last order of one holder and the first of the next. */
+  readonly transferDelay: () => Milliseconds;
+  /** Whether workers reject orders with a lower fencing token than they have seen. */
   readonly areTokensChecked: () => boolean;
 }
 
-/** Takes the lock when it is free, and tells whether this node may give orders. */
+/** Acquires the lock when it is free, and tells whether this node may give orders. */
 export class CoordinatorLock implements SingletonTaskLock {
-  private holding: LockRecord | undefined;
+  private currentLock: LockRecord | undefined;
   private lockRevision: Revision = ABSENT;
-  private isKnown = false;
+  private isFleetListed = false;
   private ownNonce: string | undefined;
-  /** The lease that the lock of `ownNonce` hangs on. */
+  /** The lease to which the lock of `ownNonce` is attached. */
   private ownLease: LeaseId = NO_LEASE;
   private token: Revision = 0;
   private termRevision: Revision = ABSENT;
-  /** The last holder, also after its lock was gone. */
+  /** The last holder, also after its lock was removed. */
   private lastHolder: LockRecord | undefined;
-  private activeFrom: Milliseconds = Number.POSITIVE_INFINITY;
+  private ordersAllowedFrom: Milliseconds = Number.POSITIVE_INFINITY;
   private freeSince: Milliseconds = 0;
-  private notBefore: Milliseconds = 0;
-  private isTrying = false;
-  private ordersUnderWay = 0;
-  /** A former life of this machine may have given orders until this one began. */
-  private lastOrderAt: Milliseconds;
-  /** The lock record of a holder that resigned or is gone, though its lease may go on. */
-  private givenUpNonce: string | undefined;
+  private nextAttemptAt: Milliseconds = 0;
+  private isAcquiring = false;
+  private ordersInFlight = 0;
+  /** An earlier incarnation of this node may have given orders until this one started. */
+  private lastOrderEndedAt: Milliseconds;
+  /** The nonce of a holder that resigned or terminated, though its lease may still be valid. */
+  private abandonedNonce: string | undefined;
 
   constructor(private readonly options: CoordinatorLockOptions) {
-    this.lastOrderAt = options.clock.now();
-    options.fleet.otherChanges.subscribe((change) => this.take(change));
+    this.lastOrderEndedAt = options.clock.now();
+    options.fleet.otherChanges.subscribe((change) => this.applyChange(change));
     options.fleet.listed.subscribe(() => {
-      this.isKnown = true;
+      this.isFleetListed = true;
       this.freeSince = options.clock.now();
     });
   }
 
-  /** The node that holds the lock, as far as this node knows. */
+  /** The holder of the lock, as far as this node knows. */
   get holder(): NodeId | undefined {
-    return this.holding?.node;
+    return this.currentLock?.node;
   }
 
-  /** Revision at which the lock was last taken; it changes with each holder. */
+  /** Revision at which the lock was last acquired; it differs for each holder. */
   get term(): Revision {
     return this.lockRevision;
   }
@@ -109,96 +106,105 @@
   /** The fencing token while this node may give orders; `undefined` otherwise. */
   fencingToken(): Revision | undefined {
     const { fleet, clock } = this.options;
-    if (this.ownNonce === undefined || clock.now() < this.activeFrom) return undefined;
+    if (this.ownNonce === undefined || clock.now() < this.ordersAllowedFrom) return undefined;
     if (fleet.leaseId !== this.ownLease) return undefined;
     return fleet.renewalAge() < FENCING_TOKEN_VALIDITY ? this.token : undefined;
   }
 
-  /** The token for one order; {@link endOrder} is called once the order is answered or given up. */
+  /**
+   * The fencing token for one order; {@link endOrder} must be called once the order is answered or
+   * abandoned.
+   */
   beginOrder(): Revision | undefined {
     const token = this.fencingToken();
-    if (token !== undefined) this.ordersUnderWay += 1;
+    if (token !== undefined) this.ordersInFlight += 1;
     return token;
   }
 
-  /** An order that {@link beginOrder} allowed is under way no longer. */
+  /** Ends an order that {@link beginOrder} allowed. */
   endOrder(): void {
-    this.ordersUnderWay -= 1;
-    this.lastOrderAt = this.options.clock.now();
+    this.ordersInFlight -= 1;
+    this.lastOrderEndedAt = this.options.clock.now();
   }
 
   /**
-   * Gives no more orders for another node's sake; the time since this machine's last one ended, at
-   * the latest when this life of it began.
+   * Stops giving orders at another node's request. Returns the time since the last order of this
+   * node ended, or since this incarnation started.
    */
   resign(): Milliseconds {
     const { clock } = this.options;
-    if (this.ownNonce !== undefined) this.lose();
-    this.notBefore = clock.now() + RESIGNED_PAUSE;
-    return this.ordersUnderWay > 0 ? 0 : clock.now() - this.lastOrderAt;
+    if (this.ownNonce !== undefined) this.loseLock();
+    this.nextAttemptAt = clock.now() + RESIGNED_BACKOFF;
+    return this.ordersInFlight > 0 ? 0 : clock.now() - this.lastOrderEndedAt;
   }
 
   /**
-   * Takes the lock from a holder that is suspected, without waiting for its lease: one that resigns
-   * or whose process is gone gives no more orders. One that is silent may still give some.
+   * Acquires the lock from a suspected holder without waiting for its lease to expire, if the
+   * holder resigns or its process has terminated. A holder that does not answer may still give
+   * orders.
    */
   async takeOverFrom(holder: JobOwner): Promise<void> {
-    const { holding } = this;
-    if (holding === undefined || holding.nonce === this.ownNonce) return;
-    if (holding.node !== holder.node || holding.address !== holder.address) return;
-    const outcome = await this.askToResign(holder.address);
-    // One that has not acted on it may still give orders.
+    const { currentLock } = this;
+    if (currentLock === undefined || currentLock.nonce === this.ownNonce) return;
+    if (currentLock.node !== holder.node || currentLock.address !== holder.address) return;
+    const outcome = await this.requestResignation(holder.address);
+    // A holder that has not resigned may still give orders.
     if (outcome.kind === 'silent' || outcome.kind === 'unsupported') return;
     this.options.log.state('coordinator-given-up', { peer: holder.node, cause: outcome.kind });
-    this.givenUpNonce = holding.nonce;
+    this.abandonedNonce = currentLock.nonce;
     this.tick();
   }
 
-  /** A worker refused this token for a lower one than it knows: it is not used again. */
+  /** Discards a token that a worker rejected because it has seen a higher one. */
   noteRefused(token: Revision): void {
-    if (this.ownNonce !== undefined && token === this.token) this.lose();
+    if (this.ownNonce !== undefined && token === this.token) this.loseLock();
   }
 
-  /** Tries to take a lock that has been free for this node's turn. */
+  /** Tries to acquire the lock once it has been free for this node's turn. */
   tick(): void {
     const { fleet, clock } = this.options;
-    if (!this.isKnown || this.isTrying || clock.now() < this.notBefore) return;
-    // With the lease before went the lock, whether or not a watch has told so.
-    if (this.ownNonce !== undefined && fleet.leaseId !== this.ownLease) this.lose();
-    if (this.holding !== undefined && !this.isHeldByFormerLife && !this.isGivenUp) return;
-    const turn = this.isGivenUp ? 0 : this.turn();
-    if (clock.now() - this.freeSince < turn * RANK_DELAY) return;
-    // The lock hangs on a lease that lapses soon after its holder fell silent.
+    if (!this.isFleetListed || this.isAcquiring || clock.now() < this.nextAttemptAt) return;
+    // The lock expired with the previous lease, whether or not a watch has reported it.
+    if (this.ownNonce !== undefined && fleet.leaseId !== this.ownLease) this.loseLock();
+    if (this.currentLock !== undefined && !this.isHeldByEarlierIncarnation && !this.isLockAbandoned)
+      return;
+    const attemptRank = this.isLockAbandoned ? 0 : this.attemptRank();
+    if (clock.now() - this.freeSince < attemptRank * RANK_DELAY) return;
+    // The lock needs a lease that expires soon after its holder stops answering.
     fleet.requireShortLease();
     if (!fleet.hasShortLease || fleet.renewalAge() >= FENCING_TOKEN_VALIDITY) {
       fleet.renewLeaseSoon();
       return;
     }
-    this.isTrying = true;
+    this.isAcquiring = true;
     void this.acquire().finally(() => {
-      this.isTrying = false;
+      this.isAcquiring = false;
       this.freeSince = clock.now();
-      if (this.ownNonce === undefined) this.notBefore = clock.now() + RETRY_PAUSE;
+      if (this.ownNonce === undefined) this.nextAttemptAt = clock.now() + RETRY_DELAY;
     });
   }
 
-  private get isGivenUp(): boolean {
-    return this.holding !== undefined && this.holding.nonce === this.givenUpNonce;
+  private get isLockAbandoned(): boolean {
+    return this.currentLock !== undefined && this.currentLock.nonce === this.abandonedNonce;
   }
 
-  /** Whether a former life of this machine holds the lock: that process surely has ended. */
-  private get isHeldByFormerLife(): boolean {
-    return this.isThisMachine(this.holding) && this.holding?.nonce !== this.ownNonce;
+  /**
+   * Whether an earlier incarnation of this node, which has certainly terminated, holds the lock.
+   */
+  private get isHeldByEarlierIncarnation(): boolean {
+    return this.isThisNode(this.currentLock) && this.currentLock?.nonce !== this.ownNonce;
   }
 
-  private isThisMachine(record: LockRecord | undefined): boolean {
+  private isThisNode(record: LockRecord | undefined): boolean {
     const { self } = this.options;
     return record?.node === self.node && record.address === self.address;
   }
 
-  /** How many turns this node lets others go first; after the first term, the last holder. */
-  private turn(): number {
-    if (this.isThisMachine(this.lastHolder)) return 0;
+  /**
+   * Number of delays to wait before an attempt; after the first term, the last holder goes first.
+   */
+  private attemptRank(): number {
+    if (this.isThisNode(this.lastHolder)) return 0;
     return this.termRevision === ABSENT ? this.rank() : 1 + this.rank();
   }
 
@@ -224,76 +230,77 @@
         { key: TERM_KEY, value },
       ],
     });
-    const revision = outcome.kind === 'committed' ? outcome.revision : await this.settle(nonce);
+    const revision =
+      outcome.kind === 'committed' ? outcome.revision : await this.resolveUnconfirmedCommit(nonce);
     if (revision === undefined) return;
-    // Where no other machine gave orders since this one did, there is nobody to wait for.
-    const mayActAtOnce = termRevision === ABSENT || this.isThisMachine(lastHolder);
+    // There is no wait if no other node gave orders since this one did.
+    const mayActAtOnce = termRevision === ABSENT || this.isThisNode(lastHolder);
     this.lastHolder = record;
     this.termRevision = revision;
     this.ownNonce = nonce;
     this.ownLease = lease;
-    this.holding = record;
+    this.currentLock = record;
     this.lockRevision = revision;
     this.token = revision;
-    this.activeFrom = clock.now() + (mayActAtOnce ? 0 : this.handOverDelay());
+    this.ordersAllowedFrom = clock.now() + (mayActAtOnce ? 0 : this.maxTransferDelay());
     log.state('coordinator-acquired', { fencingToken: revision, mayActAtOnce });
     if (!mayActAtOnce && lastHolder !== undefined) await this.shortenWait(lastHolder, nonce);
   }
 
-  /** Has the holder of before resign; what it tells of its last order may shorten the wait. */
+  /** Asks the previous holder to resign; the age of its last order may shorten the wait. */
   private async shortenWait(previous: LockRecord, nonce: string): Promise<void> {
-    const { clock, log, handOverDelay } = this.options;
-    const outcome = await this.askToResign(previous.address);
+    const { clock, log, transferDelay } = this.options;
+    const outcome = await this.requestResignation(previous.address);
     if (outcome.kind !== 'answered' || this.ownNonce !== nonce) return;
     const { lastOrderAge } = outcome.answer;
-    const wait = Math.max(0, handOverDelay() + HAND_OVER_MARGIN - lastOrderAge);
-    this.activeFrom = Math.min(this.activeFrom, clock.now() + wait);
+    const wait = Math.max(0, transferDelay() + TRANSFER_MARGIN - lastOrderAge);
+    this.ordersAllowedFrom = Math.min(this.ordersAllowedFrom, clock.now() + wait);
     log.state('coordinator-resigned', { peer: previous.node, waitMs: Math.round(wait) });
   }
 
-  private askToResign(address: string): Promise<PeerOutcome<'resign-coordinator'>> {
+  private requestResignation(address: string): Promise<PeerOutcome<'resign-coordinator'>> {
     const request = { kind: 'resign-coordinator' } as const;
-    return this.options.peers.request<'resign-coordinator'>(address, request, RESIGN_LIMIT);
+    return this.options.peers.request<'resign-coordinator'>(address, request, RESIGN_TIMEOUT);
   }
 
   /**
-   * Where workers check tokens, a holder of before that could not learn of its loss does no harm;
-   * elsewhere it may give orders until its last renewal is too old.
+   * Where workers check tokens, orders of a previous holder that has not learned of its loss do no
+   * harm; elsewhere it may give orders until its last lease renewal is too old.
    */
-  private handOverDelay(): Milliseconds {
-    const { handOverDelay, areTokensChecked } = this.options;
-    return handOverDelay() + (areTokensChecked() ? 0 : FENCING_TOKEN_VALIDITY);
+  private maxTransferDelay(): Milliseconds {
+    const { transferDelay, areTokensChecked } = this.options;
+    return transferDelay() + (areTokensChecked() ? 0 : FENCING_TOKEN_VALIDITY);
   }
 
   /**
-   * After a lost answer or a conflict: whether the lock is this attempt's. Both records are read, as
-   * a watch that fell behind may not have told of them.
+   * After an unanswered or conflicting commit: the revision of the lock if this attempt acquired
+   * it. Both records are read, as a watch may lag behind.
    */
-  private async settle(nonce: string): Promise<Revision | undefined> {
+  private async resolveUnconfirmedCommit(nonce: string): Promise<Revision | undefined> {
     const { store } = this.options;
     const lock = await store.get(LOCK_KEY);
     if (lock.kind !== 'item') return undefined;
     const { item } = lock;
     if (item !== undefined && parseLock(item.value)?.nonce === nonce) return item.revision;
     const term = await store.get(TERM_KEY);
-    if (term.kind === 'item' && term.item !== undefined) this.take(term.item);
-    if (item !== undefined) this.take(item);
-    else if (this.holding !== undefined) this.noteFree();
+    if (term.kind === 'item' && term.item !== undefined) this.applyChange(term.item);
+    if (item !== undefined) this.applyChange(item);
+    else if (this.currentLock !== undefined) this.markFree();
     return undefined;
   }
 
-  private noteFree(): void {
-    this.holding = undefined;
+  private markFree(): void {
+    this.currentLock = undefined;
     this.lockRevision = ABSENT;
     this.freeSince = this.options.clock.now();
   }
 
-  private lose(): void {
+  private loseLock(): void {
     this.ownNonce = undefined;
     this.options.log.state('coordinator-lost', { fencingToken: this.token });
   }
 
-  private take(change: StoreChange): void {
+  private applyChange(change: StoreChange): void {
     if (change.key === TERM_KEY && change.value !== undefined) {
       if (change.revision < this.termRevision) return;
       this.termRevision = change.revision;
@@ -301,16 +308,16 @@
     }
     if (change.key !== LOCK_KEY || change.revision < this.lockRevision) return;
     const lock = change.value === undefined ? undefined : parseLock(change.value);
-    this.holding = lock;
+    this.currentLock = lock;
     this.lockRevision = change.revision;
-    if (change.value === undefined) this.noteFree();
-    if (this.ownNonce !== undefined && lock?.nonce !== this.ownNonce) this.lose();
+    if (change.value === undefined) this.markFree();
+    if (this.ownNonce !== undefined && lock?.nonce !== this.ownNonce) this.loseLock();
   }
 }
 
 function parseLock(text: string): LockRecord | undefined {
   try {
-    return LOCK.safeParse(JSON.parse(text)).data;
+    return LOCK_RECORD.safeParse(JSON.parse(text)).data;
   } catch {
     return undefined;
   }
--- a/src/fleet/crash-reports.ts
+++ b/src/fleet/crash-reports.ts
@@ -1,11 +1,9 @@
 /**
- * Tells the fleet which requests were at workers that ended. Callers come again at any node, so each
- * has to know within the bound for changes, also one that restarts or joins later.
+ * Distributes crash reports, which name the requests that a worker was running when it crashed, so
+ * that every gateway rejects a crash-inducing request.
  *
- * Reports go both ways: straight to all live nodes, which takes a round trip and needs no store; and
- * into a record of the shared store, which all nodes follow, and which nodes read that were not
- * live, did not answer, or were all killed. Each way alone has a hole: nodes that are told directly
- * forget with their process, and the store may be away, or a watch of it silent, for seconds.
+ * Reports are sent directly to all live nodes, which needs no store, and stored as records that all
+ * nodes watch, for nodes that start later or did not answer.
  */
 import { firstValueFrom, Subject } from 'rxjs';
 import * as z from 'zod';
@@ -20,33 +18,32 @@
 import type { DecisionLog } from '../telemetry/decision-log.js';
 import type { FleetMetrics } from '../telemetry/fleet-metrics.js';
 
-/** Records of workers that ended, under the prefix of the fleet. */
+/** Crash records are stored under the prefix of the fleet. */
 const CRASH_PREFIX = 'fleet/worker-end/';
 
-/** Times that a node which does not answer is told: the first may hang on a connection gone silent. */
-const TELL_ATTEMPTS = 3;
+/** The first attempt may hang on a stalled connection. */
+const NOTIFY_ATTEMPTS = 3;
 
 /**
- * Pause before a commit that failed is tried again; doubled up to the longest. The end of an outage
- * is noticed by the lease's renewal, and ends a pause at once.
+ * Delays before a failed commit is retried, doubled up to the maximum; a lease renewal that
+ * succeeds ends a delay.
  */
-const RETRY_PAUSE: Milliseconds = 250;
-const LONGEST_RETRY_PAUSE: Milliseconds = 2_000;
+const MIN_RETRY_DELAY: Milliseconds = 250;
+const MAX_RETRY_DELAY: Milliseconds = 2_000;
 
-/** Time that a node which stops spends on reports that the store has not taken. */
-const FINISH_LIMIT: Milliseconds = 1_000;
+/** Time for which a stopping node tries to store its reports. */
+const FLUSH_TIMEOUT: Milliseconds = 1_000;
 
-/** Keys that one commit of the store may write. */
-const MOST_KEYS_TOGETHER = 32;
+const MAX_KEYS_PER_COMMIT = 32;
 
 const CRASH_RECORD = openRecord({
   /** Fingerprints. */
   requests: z.array(z.string()),
-  /** Time of day. */
+  /** Time of day, in milliseconds. */
   at: z.number(),
 });
 
-/** What one node says was at a worker when it ended. */
+/** The requests that one node had running on a worker when it crashed. */
 type CrashRecord = z.infer<typeof CRASH_RECORD>;
 
 interface StoredRecord extends CrashRecord {
@@ -58,75 +55,75 @@
   readonly store: SharedStore;
   readonly self: NodeId;
   readonly liveNodes: () => readonly NodeId[];
-  /** Tells one node directly; resolves with whether it knows now. */
+  /** Sends a report to one node; resolves with whether the node acknowledged it. */
   readonly notifyNode: (node: NodeId, report: CrashReport) => Promise<boolean>;
-  /** Another node's report, and the steady time of what it tells. */
+  /** Called with the report of a node and the time of the crash, by this node's steady clock. */
   readonly onReport: (report: CrashReport, at: Milliseconds) => void;
-  /** What was taken back of a report. */
+  /** Called with the requests that were removed from a report. */
   readonly onWithdrawal: (report: CrashReport) => void;
   readonly clock: Clock;
   readonly log: Pick<DecisionLog, 'state'>;
   readonly metrics: FleetMetrics;
 }
 
-/** Passes reports on and takes them in. */
+/** Sends and stores the reports of this node, and passes those of other nodes on. */
 export class CrashReports {
-  /** What lies in the store, by key. */
+  /** Records in the store, by key. */
   private readonly stored = new Map<string, StoredRecord>();
   /** Own records that the store has not confirmed, by key. */
   private readonly unsaved = new Map<string, CrashRecord>();
-  /** Answered requests that records may still name. */
-  private readonly acquitted = new Set<RequestFingerprint>();
-  private saving: Promise<void> | undefined;
-  /** Fires when a commit that failed is to be tried again now. */
+  /** Answered requests that stored records may still name. */
+  private readonly withdrawn = new Set<RequestFingerprint>();
+  private pendingSave: Promise<void> | undefined;
+  /** Fires when a failed commit is to be retried at once. */
   private readonly retries = new Subject<void>();
   private isStopped = false;
 
   constructor(private readonly options: CrashReportsOptions) {}
 
-  /** Writes what is left, as far as the store takes it soon, and nothing more. */
+  /** Tries for a limited time to store what is unsaved, then stops. */
   async flush(): Promise<void> {
     this.retryNow();
-    await Promise.race([this.saving, this.options.clock.sleep(FINISH_LIMIT)]);
+    await Promise.race([this.pendingSave, this.options.clock.sleep(FLUSH_TIMEOUT)]);
     this.isStopped = true;
     this.retryNow();
   }
 
-  /** Tells all nodes. */
+  /** Reports a crash to all nodes. */
   report(report: CrashReport): void {
     const { self, liveNodes, clock } = this.options;
-    for (const node of liveNodes()) if (node !== self) void this.tell(node, report);
+    for (const node of liveNodes()) if (node !== self) void this.notify(node, report);
     const key = `${CRASH_PREFIX}${report.worker}/${self}`;
-    const before = this.unsaved.get(key)?.requests ?? this.stored.get(key)?.requests ?? [];
-    const requests = [...new Set([...before, ...report.requests])];
+    const previous = this.unsaved.get(key)?.requests ?? this.stored.get(key)?.requests ?? [];
+    const requests = [...new Set([...previous, ...report.requests])];
     this.unsaved.set(key, { requests, at: clock.wallTime() });
     this.save();
   }
 
-  /** Tells a node that has just joined what the store does not hold yet: no list can show it. */
+  /** Sends reports that are not stored yet to a node that has just joined. */
   sendUnsavedTo(node: NodeId): void {
     if (node === this.options.self) return;
     for (const [key, { requests }] of this.unsaved) {
-      void this.tell(node, { worker: workerOf(key), requests });
+      void this.notify(node, { worker: workerOf(key), requests });
     }
   }
 
-  /** The store answers again: what waits is written now. */
+  /** Retries a failed commit at once; called when the store answers again. */
   retryNow(): void {
     this.retries.next();
   }
 
-  /** A worker answered a request: records must not speak against it at other nodes. */
+  /** Removes a request from all records, as a worker has answered it. */
   withdraw(request: RequestFingerprint): void {
-    this.acquitted.add(request);
+    this.withdrawn.add(request);
     this.save();
   }
 
-  /** Takes in a change under the prefix of the fleet. */
+  /** Applies a change under the prefix of the fleet. */
   applyChange({ key, value, revision }: StoreChange): void {
     if (!key.startsWith(CRASH_PREFIX)) return;
-    const before = this.stored.get(key);
-    if (before !== undefined && revision < before.revision) return;
+    const previous = this.stored.get(key);
+    if (previous !== undefined && revision < previous.revision) return;
     const record = value === undefined ? undefined : parseRecord(value);
     if (value !== undefined && record === undefined) {
       this.options.log.state('record-unreadable', { key });
@@ -135,82 +132,83 @@
     else this.stored.set(key, { ...record, revision });
     const worker = workerOf(key);
     const named = new Set(record?.requests ?? []);
-    const gone = before?.requests.filter((request) => !named.has(request)) ?? [];
-    if (gone.length > 0) this.options.onWithdrawal({ worker, requests: gone });
+    const removed = previous?.requests.filter((request) => !named.has(request)) ?? [];
+    if (removed.length > 0) this.options.onWithdrawal({ worker, requests: removed });
     if (record === undefined) return;
-    const { clock, onReport: taken } = this.options;
+    const { clock, onReport } = this.options;
     const age = Math.max(0, clock.wallTime() - record.at);
-    if (age < EVIDENCE_LIFETIME) taken({ worker, requests: record.requests }, clock.now() - age);
+    if (age < EVIDENCE_LIFETIME) onReport({ worker, requests: record.requests }, clock.now() - age);
   }
 
-  /** Removes records that no longer speak against anything; the work of one node at a time. */
+  /** Removes expired records; only the coordinator calls this. */
   async removeExpired(): Promise<void> {
     const { store, clock } = this.options;
     const oldest = clock.wallTime() - EVIDENCE_LIFETIME;
     const expired = [...this.stored].filter(([, { at }]) => at < oldest).map(([key]) => key);
     if (expired.length === 0) return;
-    await store.commit({ expected: [], remove: expired.slice(0, MOST_KEYS_TOGETHER) });
+    await store.commit({ expected: [], remove: expired.slice(0, MAX_KEYS_PER_COMMIT) });
   }
 
-  private async tell(node: NodeId, report: CrashReport): Promise<void> {
-    const { notifyNode: tell, metrics } = this.options;
-    let isTold = false;
-    for (let attempt = 0; attempt < TELL_ATTEMPTS && !isTold; attempt += 1) {
-      isTold = await tell(node, report);
+  private async notify(node: NodeId, report: CrashReport): Promise<void> {
+    const { notifyNode, metrics } = this.options;
+    let isNotified = false;
+    for (let attempt = 0; attempt < NOTIFY_ATTEMPTS && !isNotified; attempt += 1) {
+      isNotified = await notifyNode(node, report);
     }
-    metrics.count('crash_reports', { way: 'peer', outcome: isTold ? 'told' : 'silent' });
+    metrics.count('crash_reports', { way: 'peer', outcome: isNotified ? 'told' : 'silent' });
   }
 
   private save(): void {
-    this.saving ??= this.saveAll();
+    this.pendingSave ??= this.saveAll();
   }
 
-  /** Commits until nothing is left to write. */
   private async saveAll(): Promise<void> {
-    // `save` has to know the promise before the loop can end, or the next call would begin none.
+    // `save` must have stored the promise before the loop can end.
     await Promise.resolve();
-    let pause = RETRY_PAUSE;
+    let delay = MIN_RETRY_DELAY;
     for (let next = this.nextCommit(); next !== undefined; next = this.nextCommit()) {
-      const isDone = await this.commit(next);
-      if (isDone) pause = RETRY_PAUSE;
+      const isCommitted = await this.commit(next);
+      if (isCommitted) delay = MIN_RETRY_DELAY;
       else {
         await Promise.race([
-          this.options.clock.sleep(pause),
+          this.options.clock.sleep(delay),
           firstValueFrom(this.retries, { defaultValue: undefined }),
         ]);
-        pause = Math.min(2 * pause, LONGEST_RETRY_PAUSE);
+        delay = Math.min(2 * delay, MAX_RETRY_DELAY);
       }
     }
-    this.saving = undefined;
+    this.pendingSave = undefined;
   }
 
-  /** What is to be written next: own reports first, then records without what was acquitted. */
+  /** The next commit: unsaved reports first, then records without withdrawn requests. */
   private nextCommit(): StoreCommit | undefined {
     if (this.isStopped) return undefined;
-    const unsaved = [...this.unsaved].slice(0, MOST_KEYS_TOGETHER);
+    const unsaved = [...this.unsaved].slice(0, MAX_KEYS_PER_COMMIT);
     if (unsaved.length > 0) {
       return {
         expected: [],
         put: unsaved.map(([key, record]) => ({ key, value: JSON.stringify(record) })),
       };
     }
-    const named = [...this.stored].filter(([, record]) => this.namesAcquitted(record));
+    const named = [...this.stored].filter(([, record]) => this.namesWithdrawn(record));
     if (named.length === 0) {
-      this.acquitted.clear();
+      this.withdrawn.clear();
       return undefined;
     }
-    return this.withoutAcquitted(named.slice(0, MOST_KEYS_TOGETHER));
+    return this.commitWithoutWithdrawn(named.slice(0, MAX_KEYS_PER_COMMIT));
   }
 
-  private namesAcquitted({ requests }: CrashRecord): boolean {
-    return this.acquitted.size > 0 && requests.some((request) => this.acquitted.has(request));
+  private namesWithdrawn({ requests }: CrashRecord): boolean {
+    return this.withdrawn.size > 0 && requests.some((request) => this.withdrawn.has(request));
   }
 
-  private withoutAcquitted(records: readonly (readonly [string, StoredRecord])[]): StoreCommit {
+  private commitWithoutWithdrawn(
+    records: readonly (readonly [string, StoredRecord])[],
+  ): StoreCommit {
     const put: { key: string; value: string }[] = [];
     const remove: string[] = [];
     for (const [key, { revision: _, ...record }] of records) {
-      const requests = record.requests.filter((request) => !this.acquitted.has(request));
+      const requests = record.requests.filter((request) => !this.withdrawn.has(request));
       if (requests.length === 0) remove.push(key);
       else put.push({ key, value: JSON.stringify({ ...record, requests }) });
     }
@@ -218,7 +216,7 @@
     return { expected, put, remove };
   }
 
-  /** Whether there is no need to wait before the next commit. */
+  /** Whether the next commit may follow without a delay. */
   private async commit(commit: StoreCommit): Promise<boolean> {
     const { store, metrics } = this.options;
     const sent = new Map(this.unsaved);
@@ -236,7 +234,7 @@
   }
 }
 
-/** The worker that a record is about; names of nodes hold no slash. */
+/** Worker ids may contain slashes, node names may not. */
 function workerOf(key: string): string {
   return key.slice(CRASH_PREFIX.length, key.lastIndexOf('/'));
 }
--- a/src/fleet/direct-prefixes.ts
+++ b/src/fleet/direct-prefixes.ts
@@ -1,8 +1,7 @@
 /**
- * The prefixes that this node follows for others, at the shared store or by way of the first relay of
- * its region, and what it tells others of them.
- * It answers only while it surely hears from the store: the store has renewed its lease lately, and
- * its own watch waits there on a call that is not old.
+ * Prefixes that this node, as a relay, watches at the store or at the first relay of its region,
+ * and serves to its followers. A relay answers only while its lease was renewed recently and its
+ * own watch is recent.
  */
 import { filter, firstValueFrom, raceWith, Subject, timer } from 'rxjs';
 import type { Milliseconds, Revision } from '../core/units.js';
@@ -16,29 +15,31 @@
 } from '../shared-store/shared-store.js';
 
 /**
- * A relay answers only while the store has renewed its lease this recently, so that a relay that
- * is cut off from the store does not hold its followers back.
+ * Maximum age of the last lease renewal at which a relay answers, so that a relay that is
+ * partitioned from the store does not delay its followers.
  */
-const FRESHNESS: Milliseconds = 1_000;
+const MAX_RENEWAL_AGE: Milliseconds = 1_000;
 
 /**
- * Longest watch at the store, as a share of the bound for a configuration. A watch on a connection
- * that went silent ends only by its own limit, and until then all followers are told "nothing new":
- * for 26 s where the watch waited 25 s (test of silent watches), for 2.4 s with this share of a
- * bound of 2 s and 0.9 s for the answer.
+ * Maximum duration of a watch at the store, as a share of the change bound. A watch on a stalled
+ * connection ends only by its own limit, and until then followers get no changes.
  */
 const WATCH_SHARE = 0.75;
 
-/** Which changes have to be known when. */
+/** Prefixes whose changes must take effect at all nodes within a time. */
 export interface ChangeBound {
-  /** The prefixes whose changes have to be in force at all nodes in time. */
+  /** Prefixes to which the bound applies. */
   readonly boundPrefixes: readonly string[];
-  /** Time in which such a change has to be in force. */
+  /** Time within which a change must take effect. */
   readonly changeBound: () => Milliseconds;
 }
 
-/** Time for which a watch may wait at the store, of what its caller would wait. */
-export function longestWatch(prefix: string, wait: Milliseconds, bound: ChangeBound): Milliseconds {
+/** Duration of a watch at the store, given the duration that its caller requested. */
+export function maxWatchDuration(
+  prefix: string,
+  wait: Milliseconds,
+  bound: ChangeBound,
+): Milliseconds {
   if (!bound.boundPrefixes.includes(prefix)) return wait;
   return Math.min(wait, Math.ceil(WATCH_SHARE * bound.changeBound()));
 }
@@ -46,40 +47,42 @@
 /** Options of {@link DirectPrefixes}. */
 export interface DirectPrefixesOptions extends ChangeBound {
   readonly store: Pick<SharedStore, 'range' | 'watch'>;
-  /** Whether this node reads the store itself, and not by way of another relay. @default it does */
-  readonly isFirst?: () => boolean;
+  /**
+   * Whether this node reads the store itself rather than through another relay. @default it does
+   */
+  readonly readsStoreDirectly?: () => boolean;
   /** Time since the store last renewed this node's lease. */
   readonly renewalAge: () => Milliseconds;
   readonly clock: Clock;
 }
 
-/** One prefix that this node follows at the store itself. */
+/** A prefix that this node watches itself. */
 interface DirectWatch {
   readonly mirror: PrefixMirror;
-  /** Whether a call waits at the store. */
+  /** Whether a watch call is pending at the store. */
   isWaiting: boolean;
   lastOutcomeAt: Milliseconds;
 }
 
-/** Follows prefixes at the store, and tells other nodes of them. */
+/** Watches prefixes and answers the followers of this relay. */
 export class DirectPrefixes {
   private readonly watches = new Map<string, DirectWatch>();
-  private readonly grown = new Subject<string>();
-  /** One answer for all followers that ask for the same list, so that it is written out once. */
+  private readonly prefixUpdates = new Subject<string>();
+  /** Shared by all followers that request the same list, so that it is encoded once. */
   private readonly listAnswers = new WeakMap<PrefixSnapshot, PeerAnswers['list-prefix']>();
 
   constructor(private readonly options: DirectPrefixesOptions) {}
 
-  /** Lists a prefix at the store, for this node and its followers. */
+  /** Lists a prefix for this node and its followers. */
   async list(prefix: string): Promise<StoreRangeOutcome> {
     const { store, clock } = this.options;
     const outcome = await store.range(prefix);
     if (outcome.kind === 'failed') {
-      this.forget(prefix);
+      this.stopServing(prefix);
       return outcome;
     }
-    const known = this.watches.get(prefix);
-    if (known === undefined) {
+    const existing = this.watches.get(prefix);
+    if (existing === undefined) {
       const mirror = new PrefixMirror(outcome);
       this.watches.set(prefix, {
         mirror,
@@ -87,14 +90,14 @@
         lastOutcomeAt: suspendAwareTime(clock),
       });
     } else {
-      known.mirror.applyList(outcome);
-      known.lastOutcomeAt = suspendAwareTime(clock);
+      existing.mirror.applyList(outcome);
+      existing.lastOutcomeAt = suspendAwareTime(clock);
     }
-    this.grown.next(prefix);
+    this.prefixUpdates.next(prefix);
     return outcome;
   }
 
-  /** Watches a prefix at the store, for this node and its followers. */
+  /** Watches a prefix for this node and its followers. */
   async watch(
     prefix: string,
     after: Revision,
@@ -103,34 +106,34 @@
   ): Promise<StoreWatchOutcome> {
     const { store, clock } = this.options;
     const watch = this.watches.get(prefix);
-    // A node that just became a relay lists first, so that it can tell its followers all.
+    // A node that just became a relay lists first, so that its followers miss nothing.
     if (watch === undefined || after > watch.mirror.revision) return { kind: 'compacted' };
     watch.isWaiting = true;
-    const limit = longestWatch(prefix, wait, this.options);
+    const limit = maxWatchDuration(prefix, wait, this.options);
     const outcome = await store.watch(prefix, after, limit, signal);
     watch.isWaiting = false;
     if (outcome.kind === 'changes') {
       watch.lastOutcomeAt = suspendAwareTime(clock);
       watch.mirror.applyChanges(after, outcome.changes, outcome.revision);
     } else if (!signal.aborted) {
-      // What comes until the next list is not known here: followers must not wait for it.
+      // Changes until the next list are unknown here, so followers must not wait for them.
       this.watches.delete(prefix);
     }
-    this.grown.next(prefix);
+    this.prefixUpdates.next(prefix);
     return outcome;
   }
 
-  /** Tells nobody of this prefix any more. */
-  forget(prefix: string): void {
-    if (this.watches.delete(prefix)) this.grown.next(prefix);
+  /** Stops serving a prefix. */
+  stopServing(prefix: string): void {
+    if (this.watches.delete(prefix)) this.prefixUpdates.next(prefix);
   }
 
-  /** Answers a follower that asks what changed: at once where something did or may be missed here. */
+  /** Answers a follower's watch: at once if there are changes or this node may have missed some. */
   async answer(request: PeerRequestOf<'follow-prefix'>): Promise<PeerAnswers['follow-prefix']> {
     const { prefix, after, wait } = request;
     const deadline = this.options.clock.now() + wait;
     const watch = this.watches.get(prefix);
-    if (watch === undefined || this.isTooFar(request)) return { isCurrent: false };
+    if (watch === undefined || this.mustRejectRelay(request)) return { isCurrent: false };
     for (;;) {
       if (this.watches.get(prefix) !== watch || !this.isCurrent(watch)) return { isCurrent: false };
       const changes = watch.mirror.changesAfter(after);
@@ -139,51 +142,56 @@
       if (changes.length > 0 || remaining <= 0) {
         return { isCurrent: true, changes, revision: Math.max(after, watch.mirror.revision) };
       }
-      await this.growthWithin(prefix, Math.min(remaining, this.timeToStale()));
+      await this.waitForUpdate(prefix, Math.min(remaining, this.timeUntilStale()));
     }
   }
 
-  /** Answers a follower that asks for a prefix whole. */
+  /** Answers a follower's list. */
   answerList(request: PeerRequestOf<'list-prefix'>): PeerAnswers['list-prefix'] {
     const watch = this.watches.get(request.prefix);
     if (watch === undefined || !this.isCurrent(watch)) return { isCurrent: false };
-    if (this.isTooFar(request)) return { isCurrent: false };
+    if (this.mustRejectRelay(request)) return { isCurrent: false };
     const { snapshot } = watch.mirror;
-    const known = this.listAnswers.get(snapshot) ?? { isCurrent: true, ...snapshot };
-    this.listAnswers.set(snapshot, known);
-    return known;
+    const cached = this.listAnswers.get(snapshot) ?? { isCurrent: true, ...snapshot };
+    this.listAnswers.set(snapshot, cached);
+    return cached;
   }
 
-  /** Time since the store was surely there to tell of a prefix; infinite where it is not followed. */
+  /**
+   * Time since the store is known to have been reachable for a prefix; infinite if this node does
+   * not watch it.
+   */
   contactAge(prefix: string): Milliseconds {
     const watch = this.watches.get(prefix);
     const isFollowed = watch !== undefined && this.isFollowing(watch);
     return isFollowed ? this.options.renewalAge() : Number.POSITIVE_INFINITY;
   }
 
-  /** Whether another relay asks, and this node is no nearer to the store than that one. */
-  private isTooFar({ forRelay = false }: PeerRequestOf<'follow-prefix' | 'list-prefix'>): boolean {
-    const { isFirst = () => true } = this.options;
-    return forRelay && !isFirst();
+  /** Whether to reject the request of another relay, as this node also reads through a relay. */
+  private mustRejectRelay({
+    forRelay = false,
+  }: PeerRequestOf<'follow-prefix' | 'list-prefix'>): boolean {
+    const { readsStoreDirectly = () => true } = this.options;
+    return forRelay && !readsStoreDirectly();
   }
 
-  /** Whether this node surely hears of changes now. */
+  /** Whether this node is certain to receive changes now. */
   private isCurrent(watch: DirectWatch): boolean {
-    return this.isFollowing(watch) && this.options.renewalAge() < FRESHNESS;
+    return this.isFollowing(watch) && this.options.renewalAge() < MAX_RENEWAL_AGE;
   }
 
   private isFollowing({ isWaiting, lastOutcomeAt }: DirectWatch): boolean {
-    return isWaiting || suspendAwareTime(this.options.clock) - lastOutcomeAt < FRESHNESS;
+    return isWaiting || suspendAwareTime(this.options.clock) - lastOutcomeAt < MAX_RENEWAL_AGE;
   }
 
-  /** Time until the last renewal of the lease is too old to say anything, unless another comes. */
-  private timeToStale(): Milliseconds {
-    return Math.max(1, FRESHNESS - this.options.renewalAge());
+  /** Time until the last lease renewal is too old to answer, unless another follows. */
+  private timeUntilStale(): Milliseconds {
+    return Math.max(1, MAX_RENEWAL_AGE - this.options.renewalAge());
   }
 
-  /** Resolves once the prefix has grown, or after a time. */
-  private async growthWithin(prefix: string, time: Milliseconds): Promise<void> {
-    const growth = this.grown.pipe(filter((grownPrefix) => grownPrefix === prefix));
-    await firstValueFrom(growth.pipe(raceWith(timer(time))), { defaultValue: 0 });
+  /** Resolves once the prefix was updated, or after a time. */
+  private async waitForUpdate(prefix: string, time: Milliseconds): Promise<void> {
+    const updates = this.prefixUpdates.pipe(filter((updatedPrefix) => updatedPrefix === prefix));
+    await firstValueFrom(updates.pipe(raceWith(timer(time))), { defaultValue: 0 });
   }
 }
--- a/src/fleet/fleet-feeds.ts
+++ b/src/fleet/fleet-feeds.ts
@@ -1,6 +1,6 @@
 /**
- * What the operator, the trainers and the workers write into the shared store, followed and handed
- * on as events. A translation knows the spelling of keys and records.
+ * Watches the records that the operator, trainers and workers write to the shared store, and emits
+ * them as events. A {@link FeedTranslation} defines their keys and formats.
  */
 import { Subject } from 'rxjs';
 import type { ModelName, NodeId, ZoneName } from '../core/identity.js';
@@ -10,17 +10,17 @@
 import type { SharedStore, StoreChange } from '../shared-store/shared-store.js';
 import type { DecisionLog } from '../telemetry/decision-log.js';
 
-/** Changes of workers that come this close together cost one call; the bound to act on is 2 s. */
-const WORKER_COALESCE: Milliseconds = 400;
+/** Worker changes within this time are read with one call. */
+const WORKER_COALESCE_TIME: Milliseconds = 400;
 
-/** One thing that changed outside the fleet. */
+/** A change made outside the fleet. */
 export type FleetEvent =
   | { readonly kind: 'configuration'; readonly configuration: TrafficConfiguration }
   | { readonly kind: 'worker'; readonly record: WorkerRecord }
   | { readonly kind: 'worker-gone'; readonly worker: string }
-  /** A worker's entry that cannot be read, as another writer's; it names no worker to use. */
+  /** A worker's record that cannot be parsed; the worker must not be used. */
   | { readonly kind: 'worker-unreadable'; readonly worker: string }
-  /** The list of workers was read whole. */
+  /** The list of workers was read completely. */
   | { readonly kind: 'workers-listed' }
   | {
       readonly kind: 'version-named';
@@ -28,19 +28,21 @@
       readonly version: WeightVersion;
     }
   | { readonly kind: 'storage-drain'; readonly node: NodeId }
-  /** The operator wants the workers of a zone to be sent nothing, or takes that back. */
+  /**
+   * The operator evacuates a zone, so that its workers receive no requests, or ends the evacuation.
+   */
   | { readonly kind: 'zone-evacuated'; readonly zone: ZoneName }
   | { readonly kind: 'zone-returned'; readonly zone: ZoneName }
-  /** A record that cannot be read; what was in force before stays. */
+  /** A record that cannot be parsed; the previous one stays in force. */
   | { readonly kind: 'unreadable'; readonly key: string };
 
-/** The spelling of keys and records. */
+/** Keys and formats of the records. */
 export interface FeedTranslation {
-  /** Where the operator and the trainers write. */
+  /** Prefix of the records of the operator and the trainers. */
   readonly operatorPrefix: string;
-  /** Where workers register themselves. */
+  /** Prefix of the records of workers. */
   readonly workerPrefix: string;
-  /** What a change under either prefix means; `undefined` where it means nothing to us. */
+  /** Translates a change under either prefix; `undefined` for a record that is not used. */
   translate(change: StoreChange): FleetEvent | undefined;
 }
 
@@ -51,7 +53,7 @@
   readonly log: DecisionLog;
 }
 
-/** Follows both prefixes until stopped. */
+/** Watches both prefixes until stopped. */
 export class FleetFeeds {
   readonly events = new Subject<FleetEvent>();
   private readonly operator: PrefixWatcher;
@@ -61,26 +63,28 @@
     const { store, translation } = options;
     this.operator = this.watch(new PrefixWatcher({ store, prefix: translation.operatorPrefix }));
     this.workers = this.watch(
-      new PrefixWatcher({ store, prefix: translation.workerPrefix, coalesce: WORKER_COALESCE }),
+      new PrefixWatcher({
+        store,
+        prefix: translation.workerPrefix,
+        coalesce: WORKER_COALESCE_TIME,
+      }),
     );
     this.workers.updates.subscribe(({ listed }) => {
       if (listed) this.events.next({ kind: 'workers-listed' });
     });
   }
 
-  /** Begins to follow. */
   start(): void {
     void this.operator.run();
     void this.workers.run();
   }
 
-  /** Follows no more. */
   stop(): void {
     this.operator.stop();
     this.workers.stop();
   }
 
-  /** Asks anew after the store was silent. */
+  /** Restarts both watches after the store was unreachable. */
   restart(): void {
     this.operator.restart();
     this.workers.restart();
--- a/src/fleet/fleet-peers.ts
+++ b/src/fleet/fleet-peers.ts
@@ -1,4 +1,4 @@
-/** Questions to the other nodes of a fleet, as this node asks them. */
+/** Requests of this node to the other nodes of the fleet. */
 import type { NodeId, ZoneName } from '../core/identity.js';
 import type { Milliseconds } from '../core/units.js';
 import type { Failure } from '../errors/error-kinds.js';
@@ -30,33 +30,34 @@
 import type { CoordinatorLock } from './coordinator-lock.js';
 import type { FleetRegistry } from './fleet-registry.js';
 import type { JobPlacement } from './job-placement.js';
-import { END_LIMIT } from './peer-limits.js';
+import { CANCELLATION_TIMEOUT } from './peer-limits.js';
 import { PeerRequester } from './peer-requester.js';
 import { SubmissionRouter } from './submission-router.js';
 import type { WeightChange } from './weight-changes.js';
 
-/** Time for an answer. */
-const KEPT_WORK_LIMIT: Milliseconds = 120;
-/** Beyond the wait that is asked for: the owner may have the store confirm that nothing is listed. */
-const RESULTS_LIMIT: Milliseconds = 700;
-const HAND_OVER_LIMIT: Milliseconds = 600;
-const NEED_LIMIT: Milliseconds = 300;
-const USAGE_LIMIT: Milliseconds = 600;
-const SURRENDER_LIMIT: Milliseconds = 500;
-const CRASH_REPORT_LIMIT: Milliseconds = 300;
+const KEPT_WORK_TIMEOUT: Milliseconds = 120;
+/**
+ * In addition to the requested wait: the owner may have the store confirm that no result is listed.
+ */
+const RESULTS_TIMEOUT: Milliseconds = 700;
+const TAKE_JOB_TIMEOUT: Milliseconds = 600;
+const WEIGHTS_TIMEOUT: Milliseconds = 300;
+const USAGE_TIMEOUT: Milliseconds = 600;
+const RELEASE_TIMEOUT: Milliseconds = 500;
+const CRASH_REPORT_TIMEOUT: Milliseconds = 300;
 
-/** Time beyond a limit for the answer. */
-const ANSWER_TIME: Milliseconds = 200;
+/** Time for the answer, in addition to a limit that is part of the request. */
+const ANSWER_MARGIN: Milliseconds = 200;
 
-/** Nodes that are asked about a job before the store is. */
-const LIKELY_OWNERS = 2;
-const LIKELY_OWNERS_BY_ZONE = 3;
+/** Nodes that are queried about a job before the store is read. */
+const LIKELY_OWNER_COUNT = 2;
+const LIKELY_OWNER_COUNT_BY_ZONE = 3;
 
-/** Nodes that a released job is offered to, one after the other. */
-const HAND_OVER_OFFERS = 2;
+/** Nodes to which a released job is offered, one after the other. */
+const MAX_TRANSFER_OFFERS = 2;
 
-/** Time for a node to take a job over: it reads a head and writes it. */
-const ADOPT_LIMIT: Milliseconds = 600;
+/** Time for a node to read a job's head record and write it. */
+const TAKEOVER_TIMEOUT: Milliseconds = 600;
 
 /** Options of {@link FleetPeers}. */
 export interface FleetPeersOptions {
@@ -65,44 +66,44 @@
   readonly placement: JobPlacement;
   readonly self: JobOwner;
   readonly zone: ZoneName;
-  /** How far zones are from each other. @default all are of one region */
+  /** Distance between zones. @default all zones are in one region */
   readonly distanceBetween?: DistanceBetween;
   readonly clock: Clock;
   readonly metrics: FleetMetrics;
   readonly lock: () => CoordinatorLock;
-  /** Called on the coordinator: what a job needs. */
+  /** Called on the coordinator with the weights that a job needs. */
   readonly onWeightsNeeded: (need: WeightNeed) => void;
-  /** A worker changes weights, or has. */
+  /** Called when a worker starts or completes a change of weights. */
   readonly onWeightChanged: (change: WeightChange) => void;
-  /** Whether this zone takes jobs in while the store is out of reach. */
+  /** Whether this zone accepts jobs while the store is unreachable. */
   readonly acceptsJobsWithoutStore: () => boolean;
-  /** Which nodes may hold a job. @default all */
+  /** Restricts which nodes may store a job. @default all may */
   readonly residency?: JobResidency | undefined;
 }
 
-/** The other nodes of the fleet. */
+/** Sends requests to the other nodes of the fleet. */
 export class FleetPeers implements JobPeers {
-  private readonly calls: PeerRequester;
+  private readonly requester: PeerRequester;
   private readonly submissions: SubmissionRouter;
   private readonly residency: JobResidency;
 
   constructor(private readonly options: FleetPeersOptions) {
     this.residency = options.residency ?? UNRESTRICTED_RESIDENCY;
-    this.calls = new PeerRequester(options);
-    this.submissions = new SubmissionRouter({ ...options, calls: this.calls });
+    this.requester = new PeerRequester(options);
+    this.submissions = new SubmissionRouter({ ...options, calls: this.requester });
   }
 
   async cachedWork(items: readonly string[]): Promise<ReadonlyMap<string, DigestedWork>> {
     const nodes = this.options.placement.owners().filter((node) => node !== this.options.self.node);
     const request = { kind: 'kept-work', items, zone: this.options.zone } as const;
     const outcomes = await Promise.all(
-      nodes.map((node) => this.calls.request<'kept-work'>(node, request, KEPT_WORK_LIMIT)),
+      nodes.map((node) => this.requester.request<'kept-work'>(node, request, KEPT_WORK_TIMEOUT)),
     );
     const work = new Map<string, DigestedWork>();
     for (const outcome of outcomes) {
       if (outcome?.kind !== 'answered') continue;
       for (const [id, kept] of outcome.answer.work) {
-        if (isFurther(kept, work.get(id))) work.set(id, kept);
+        if (hasMoreProgress(kept, work.get(id))) work.set(id, kept);
       }
     }
     return work;
@@ -116,10 +117,10 @@
   ): Promise<OwnerListing | undefined> {
     if (!this.options.fleet.isLive(owner)) return undefined;
     const request = { kind: 'job-results', job, after, wait } as const;
-    const outcome = await this.calls.request<'job-results'>(
+    const outcome = await this.requester.request<'job-results'>(
       owner.node,
       request,
-      wait + RESULTS_LIMIT,
+      wait + RESULTS_TIMEOUT,
     );
     if (outcome?.kind === 'refused') this.options.placement.noteUnresponsive(owner.node);
     if (outcome?.kind !== 'answered' || !outcome.answer.isOwner) return undefined;
@@ -128,29 +129,29 @@
 
   async cancelAtOwner(owner: JobOwner, job: string, caller: CallerIdentity): Promise<boolean> {
     if (!this.options.fleet.isLive(owner)) return false;
-    const outcome = await this.calls.request<'end-job'>(
+    const outcome = await this.requester.request<'end-job'>(
       owner.node,
       { kind: 'end-job', job, caller },
-      END_LIMIT,
+      CANCELLATION_TIMEOUT,
     );
     return outcome?.kind === 'answered' && outcome.answer.isEnded;
   }
 
   async releaseAtOwner(owner: JobOwner, job: string): Promise<ReadonlyMap<string, DigestedWork>> {
     const request = { kind: 'surrender-job', job, zone: this.options.zone } as const;
-    const outcome = await this.calls.requestAt<'surrender-job'>(
+    const outcome = await this.requester.requestAt<'surrender-job'>(
       owner.address,
       request,
-      SURRENDER_LIMIT,
+      RELEASE_TIMEOUT,
     );
     return outcome.kind === 'answered' ? outcome.answer.work : new Map();
   }
 
   likelyOwners(job: string): readonly JobOwner[] {
-    return this.otherOwners(job).slice(0, this.mostLikelyOwners);
+    return this.otherOwners(job).slice(0, this.likelyOwnerCount);
   }
 
-  /** Lives of the other nodes that are to run a job, in their order. */
+  /** Incarnations of the other nodes that may own a job, in order of preference. */
   private otherOwners(job: string, allowed?: AllowedRegions): JobOwner[] {
     const { fleet, placement, self } = this.options;
     const inOrder = placement.ownersOf(job, undefined, this.residency.holderFilter(allowed));
@@ -159,18 +160,22 @@
   }
 
   /**
-   * The owner and the next in turn, both of the own region where regions run their own jobs; where
-   * zones do, one in each of three zones.
+   * The owner and the next node in order, both of this region where regions run their own jobs; one
+   * node in each of three zones where zones do.
    */
-  private get mostLikelyOwners(): number {
-    return this.options.placement.isByZone ? LIKELY_OWNERS_BY_ZONE : LIKELY_OWNERS;
+  private get likelyOwnerCount(): number {
+    return this.options.placement.isByZone ? LIKELY_OWNER_COUNT_BY_ZONE : LIKELY_OWNER_COUNT;
   }
 
   async bodyAtOwner(job: string, item: string): Promise<OwnerItemBody | undefined> {
     const owners = this.likelyOwners(job);
     const request = { kind: 'item-body', job, item } as const;
     for (const owner of this.options.placement.isByZone ? owners : owners.slice(0, 1)) {
-      const outcome = await this.calls.request<'item-body'>(owner.node, request, RESULTS_LIMIT);
+      const outcome = await this.requester.request<'item-body'>(
+        owner.node,
+        request,
+        RESULTS_TIMEOUT,
+      );
       if (outcome?.kind === 'answered' && outcome.answer.isOwner) return outcome.answer;
     }
     return undefined;
@@ -186,26 +191,26 @@
     wait: Milliseconds,
     caller: CallerIdentity,
   ): Promise<ResultSlice | Failure | undefined> {
-    const node = await this.calls.findNodeReachingStore();
+    const node = await this.requester.findNodeReachingStore();
     if (node === undefined) return undefined;
     const request = { kind: 'read-for', job, after, wait, caller } as const;
     const read = await this.readAt(node, request);
-    if (!isOutsideRegions(read)) return read;
+    if (!isRegionUnavailable(read)) return read;
     const { fleet } = this.options;
     const zone = fleet.zoneOf(node);
-    const inside = await this.calls.findNodeReachingStore(
+    const otherRegionNode = await this.requester.findNodeReachingStore(
       'anywhere',
       (other) => !this.residency.areInOneRegion(fleet.zoneOf(other), zone),
     );
-    return inside === undefined ? read : this.readAt(inside, request);
+    return otherRegionNode === undefined ? read : this.readAt(otherRegionNode, request);
   }
 
   private async readAt(
     node: NodeId,
     request: PeerRequestOf<'read-for'>,
   ): Promise<ResultSlice | Failure | undefined> {
-    const limit = request.wait + RESULTS_LIMIT + ANSWER_TIME;
-    const outcome = await this.calls.request<'read-for'>(node, request, limit);
+    const limit = request.wait + RESULTS_TIMEOUT + ANSWER_MARGIN;
+    const outcome = await this.requester.request<'read-for'>(node, request, limit);
     return outcome?.kind === 'answered' ? outcome.answer.read : undefined;
   }
 
@@ -213,31 +218,39 @@
     job: string,
     caller: CallerIdentity,
   ): Promise<ForwardedOutcome | undefined> {
-    const node = await this.calls.findNodeReachingStore();
+    const node = await this.requester.findNodeReachingStore();
     if (node === undefined) return undefined;
     const request = { kind: 'end-for', job, caller } as const;
-    const outcome = await this.calls.request<'end-for'>(node, request, END_LIMIT + ANSWER_TIME);
+    const outcome = await this.requester.request<'end-for'>(
+      node,
+      request,
+      CANCELLATION_TIMEOUT + ANSWER_MARGIN,
+    );
     return outcome?.kind === 'answered' ? outcome.answer : undefined;
   }
 
   async offerReleased(job: string, allowed?: AllowedRegions): Promise<void> {
-    const nodes = this.otherOwners(job, allowed).slice(0, HAND_OVER_OFFERS);
+    const nodes = this.otherOwners(job, allowed).slice(0, MAX_TRANSFER_OFFERS);
     for (const node of nodes) {
       const request = { kind: 'take-job', job } as const;
-      const outcome = await this.calls.request<'take-job'>(node.node, request, HAND_OVER_LIMIT);
+      const outcome = await this.requester.request<'take-job'>(
+        node.node,
+        request,
+        TAKE_JOB_TIMEOUT,
+      );
       if (outcome?.kind === 'answered' && outcome.answer.isTaken) return;
     }
   }
 
   async transferMisplaced(job: string, owner: JobOwner, allowed: AllowedRegions): Promise<boolean> {
-    const nodes = this.otherOwners(job, allowed).slice(0, HAND_OVER_OFFERS);
+    const nodes = this.otherOwners(job, allowed).slice(0, MAX_TRANSFER_OFFERS);
     for (const { node } of nodes) {
       if (await this.requestTakeover(node, job, owner, true)) return true;
     }
     return false;
   }
 
-  /** Has the node that is to run a job take it over; tells whether it did. */
+  /** Has the designated node take over a job; resolves with whether it did. */
   async requestTakeover(
     node: NodeId,
     job: string,
@@ -246,11 +259,11 @@
   ): Promise<boolean> {
     if (owner === null) {
       const released = { kind: 'take-job', job } as const;
-      const taken = await this.calls.request<'take-job'>(node, released, HAND_OVER_LIMIT);
+      const taken = await this.requester.request<'take-job'>(node, released, TAKE_JOB_TIMEOUT);
       return taken?.kind === 'answered' && taken.answer.isTaken;
     }
     const request = { kind: 'adopt-job', job, owner, ownerAnswers } as const;
-    const outcome = await this.calls.request<'adopt-job'>(node, request, ADOPT_LIMIT);
+    const outcome = await this.requester.request<'adopt-job'>(node, request, TAKEOVER_TIMEOUT);
     return outcome?.kind === 'answered' && outcome.answer.isTaken;
   }
 
@@ -263,52 +276,67 @@
       this.options.onWeightsNeeded(need);
       return;
     }
-    void this.calls.request<'need-weights'>(holder, { kind: 'need-weights', need }, NEED_LIMIT);
+    void this.requester.request<'need-weights'>(
+      holder,
+      { kind: 'need-weights', need },
+      WEIGHTS_TIMEOUT,
+    );
   }
 
-  /** Tells the nodes that run the zones' or regions' jobs that a worker changes weights. */
+  /** Notifies the nodes that run the jobs of zones or regions of a worker's change of weights. */
   broadcastWeightChange(change: WeightChange): void {
-    const { placement, self, onWeightChanged: weightChanged } = this.options;
+    const { placement, self, onWeightChanged } = this.options;
     if (!placement.isByLocality) return;
-    weightChanged(change);
+    onWeightChanged(change);
     const request = { kind: 'weights-change', change } as const;
     for (const node of placement.owners()) {
-      if (node !== self.node) void this.calls.request<'weights-change'>(node, request, NEED_LIMIT);
+      if (node !== self.node)
+        void this.requester.request<'weights-change'>(node, request, WEIGHTS_TIMEOUT);
     }
   }
 
-  /** Tells the holder of the duties what workers began to run for this node. */
+  /** Reports to the coordinator what workers started to run for this node. */
   async reportUsage(holder: NodeId, source: UsageSource, counts: WindowCounts): Promise<boolean> {
     const request = { kind: 'usage-counts', source, counts } as const;
-    const outcome = await this.calls.request<'usage-counts'>(holder, request, USAGE_LIMIT);
+    const outcome = await this.requester.request<'usage-counts'>(holder, request, USAGE_TIMEOUT);
     return outcome?.kind === 'answered' && outcome.answer.isNoted;
   }
 
-  /** Asks the node that grants permits for cold workers; `undefined` where no answer came in time. */
+  /**
+   * Requests permits to use cold workers from the coordinator; `undefined` without an answer in
+   * time.
+   */
   async requestPermits(
     node: NodeId,
-    wishes: readonly PermitRequest[],
+    requests: readonly PermitRequest[],
   ): Promise<PermitAnswer | undefined> {
-    const request = { kind: 'cold-permits', wishes } as const;
-    const outcome = await this.calls.request<'cold-permits'>(node, request, PERMIT_VALIDITY);
+    const request = { kind: 'cold-permits', wishes: requests } as const;
+    const outcome = await this.requester.request<'cold-permits'>(node, request, PERMIT_VALIDITY);
     return outcome?.kind === 'answered' ? outcome.answer : undefined;
   }
 
-  /** Tells a node what was at a worker that ended; resolves with whether it knows now. */
+  /**
+   * Reports to a node the requests that ran on a crashed worker; resolves with whether it
+   * acknowledged them.
+   */
   async reportWorkerCrash(node: NodeId, report: CrashReport): Promise<boolean> {
     const request = { kind: 'worker-ended', report } as const;
-    const outcome = await this.calls.request<'worker-ended'>(node, request, CRASH_REPORT_LIMIT);
+    const outcome = await this.requester.request<'worker-ended'>(
+      node,
+      request,
+      CRASH_REPORT_TIMEOUT,
+    );
     return outcome?.kind === 'answered' && outcome.answer.isNoted;
   }
 }
 
-/** Whether a node must not pass on what it was to read, as the job is limited to other regions. */
-function isOutsideRegions(read: ResultSlice | Failure | undefined): boolean {
+/** Whether a node rejected a read because the job is limited to other regions. */
+function isRegionUnavailable(read: ResultSlice | Failure | undefined): boolean {
   return read !== undefined && 'kind' in read && read.kind === 'region_unavailable';
 }
 
-/** Whether one node's work on an item got further than another's. */
-function isFurther(one: DigestedWork, other: DigestedWork | undefined): boolean {
+/** Whether one node's work on an item is further along than another's. */
+function hasMoreProgress(one: DigestedWork, other: DigestedWork | undefined): boolean {
   return other === undefined || progressOf(one) > progressOf(other);
 }
 
--- a/src/fleet/fleet-registry.ts
+++ b/src/fleet/fleet-registry.ts
@@ -1,7 +1,6 @@
 /**
- * The live nodes of the fleet. Each node keeps a record under a lease in the shared store; a node
- * whose lease ran out counts as gone. A lease may lapse while its node lives, so nothing that must
- * stay true rests on it: a node that is wrongly taken for gone loses work, never correctness.
+ * Registers this node under a lease in the shared store and tracks the live nodes of the fleet. A
+ * lease may expire while its node is running, so correctness must not depend on liveness.
  */
 import { firstValueFrom, Subject } from 'rxjs';
 import { type FormatVersion, OWN_FORMAT } from '../core/format-version.js';
@@ -21,41 +20,42 @@
 import { FormatVersions } from './format-versions.js';
 import { type NodeRecord, parseNodeRecord } from './node-record.js';
 
-/** Where the records of nodes and of the coordinator lie. */
+/** Prefix of the records of nodes and of the coordinator. */
 export const FLEET_PREFIX = 'fleet/';
 const NODE_PREFIX = `${FLEET_PREFIX}node/`;
 
-/** Life of a lease after its last renewal, and time between renewals. */
-interface LeasePace {
+/** Time to live of a lease, and time between its renewals. */
+interface LeaseTiming {
   readonly ttl: Milliseconds;
   readonly renewalInterval: Milliseconds;
 }
 
 /**
- * A node that runs jobs, relays the store or gives orders is missed at once: its lease lapses soon
- * after it fell silent, and it learns soon that the store is out of reach.
+ * For a node that runs jobs, relays the store or gives orders: others notice its failure soon, and
+ * it soon notices that the store is unreachable.
  */
-export const PROMPT_PACE: LeasePace = { ttl: 2_000, renewalInterval: 600 };
+export const SHORT_LEASE: LeaseTiming = { ttl: 2_000, renewalInterval: 600 };
 
 /**
- * All others only forward requests. Their renewals are what most calls of a large fleet would be;
- * two of them may fail before the lease lapses.
+ * For all other nodes, which only forward requests; two renewals may fail before the lease expires.
  */
-export const RELAXED_PACE: LeasePace = { ttl: 8_000, renewalInterval: 2_500 };
+export const LONG_LEASE: LeaseTiming = { ttl: 8_000, renewalInterval: 2_500 };
 
-/** Time for which the store has to be silent before a node counts as cut off: more than one call. */
-const CUT_OFF_AGE: Milliseconds = 400;
+/** Time without an answer after which the store counts as unreachable; longer than one call. */
+const OUTAGE_THRESHOLD: Milliseconds = 400;
 
-/** Least time between two renewals, whoever asks for them. */
-const LEAST_RENEWAL_PAUSE: Milliseconds = 300;
+const MIN_RENEWAL_INTERVAL: Milliseconds = 300;
 
-/** Time for which a start waits for the list of the fleet, which names the relays for all else. */
-const FIRST_LIST_LIMIT: Milliseconds = 1_000;
+/** Time for which a start waits for the first list of the fleet, which names the relays. */
+const FIRST_LIST_TIMEOUT: Milliseconds = 1_000;
 
-/** Time from the first start of a whole fleet until all nodes have registered themselves. */
+/** Time for all nodes to register when the whole fleet starts for the first time. */
 const FIRST_START_DELAY: Milliseconds = 1_500;
 
-/** A life of a node that ended; a node that is replaced is surely gone, its lease may just lapse. */
+/**
+ * The end of a node's incarnation. `replaced`: the process has terminated; `lease-over`: it may
+ * still be running.
+ */
 export interface NodeTermination {
   readonly node: NodeId;
   readonly zone: ZoneName;
@@ -69,46 +69,46 @@
   readonly zone: ZoneName;
   readonly clock: Clock;
   readonly log: DecisionLog;
-  /** Processor share of this machine, in cores of ordinary speed. @default 1 */
+  /** CPU share of this machine, in standard cores. @default 1 */
   readonly capacity?: number;
-  /** Whether the whole fleet starts for the first time, now. @default false */
+  /** Whether the whole fleet is starting for the first time. @default false */
   readonly isFirstStart?: boolean;
 }
 
-/** Knows which lives of nodes are live, and keeps this node's own record. */
+/** Tracks the live incarnations of nodes and maintains this node's own record. */
 export class FleetRegistry {
-  /** Fires after a node left or was replaced by a new life. */
+  /** Fires after a node left or was replaced by a new incarnation. */
   readonly terminations = new Subject<NodeTermination>();
-  /** Fires after a node joined or began a new life. */
+  /** Fires after a node joined or started a new incarnation. */
   readonly arrivals = new Subject<NodeId>();
-  /** Changes under the fleet's prefix that are not about nodes. */
+  /** Changes under the prefix of the fleet other than those of nodes. */
   readonly otherChanges = new Subject<StoreChange>();
-  /** Fires when the store answers again after a renewal went unanswered. */
+  /** Fires when the store answers a renewal after an earlier one failed. */
   readonly storeReconnected = new Subject<void>();
-  /** Fires once the fleet was listed whole. */
+  /** Fires after each complete list of the fleet. */
   readonly listed = new Subject<void>();
   private readonly live = new Map<NodeId, NodeRecord>();
   private readonly formats = new FormatVersions();
   private readonly watcher: PrefixWatcher;
   private lease: LeaseId = NO_LEASE;
-  /** Life of the lease that is held. */
+  /** Time to live of the current lease. */
   private ttl: Milliseconds = 0;
-  private areDutiesTaken = false;
-  /** By {@link suspendAwareTime}, as the lease goes on while this machine is suspended. */
+  private isShortLeaseRequired = false;
+  /** By {@link suspendAwareTime}, as the lease also runs while this machine is suspended. */
   private renewedAt: Milliseconds = Number.NEGATIVE_INFINITY;
-  /** When the newest renewal was sent, whatever came of it. */
-  private triedAt: Milliseconds = Number.NEGATIVE_INFINITY;
+  /** When the last renewal was sent, whatever its outcome. */
+  private lastRenewalSentAt: Milliseconds = Number.NEGATIVE_INFINITY;
   private isRenewing = false;
   private isStoreSilent = false;
   private silentSince: Milliseconds = Number.POSITIVE_INFINITY;
-  private regainedAt: Milliseconds = Number.NEGATIVE_INFINITY;
+  private reconnectedAt: Milliseconds = Number.NEGATIVE_INFINITY;
   private timer: NodeJS.Timeout | undefined;
   private isStopped = false;
 
   constructor(private readonly options: FleetRegistryOptions) {
     this.watcher = new PrefixWatcher({ store: options.store, prefix: FLEET_PREFIX });
     this.watcher.updates.subscribe(({ changes, listed }) => {
-      for (const change of changes) this.take(change);
+      for (const change of changes) this.applyChange(change);
       if (!listed) return;
       this.formats.noteListed();
       this.listed.next();
@@ -119,9 +119,9 @@
   }
 
   /**
-   * Registers this node, so that its own list shows it, and follows the others. Where all nodes
-   * start for the first time, each waits until the others have registered: one list then shows the
-   * whole fleet. Resolves once the fleet was listed, or the store has not told it for a while.
+   * Registers this node and watches the others. When the whole fleet starts for the first time,
+   * each node waits for the others to register before it lists them. Resolves once the fleet was
+   * listed, or after a time limit.
    */
   async start(): Promise<void> {
     await this.renew();
@@ -129,43 +129,48 @@
     if (this.isStopped) return;
     const listed = firstValueFrom(this.listed, { defaultValue: undefined });
     void this.watcher.run();
-    await Promise.race([listed, this.options.clock.sleep(FIRST_LIST_LIMIT)]);
+    await Promise.race([listed, this.options.clock.sleep(FIRST_LIST_TIMEOUT)]);
   }
 
-  /** Whether this node is one that others would miss at once. */
+  /** Whether this node needs a short lease, as others depend on noticing its failure soon. */
   get requiresShortLease(): boolean {
-    return this.areDutiesTaken;
+    return this.isShortLeaseRequired;
   }
 
-  /** Whether the lease lapses soon after this node fell silent. */
+  /** Whether the current lease expires soon after this node fails. */
   get hasShortLease(): boolean {
-    return this.lease !== NO_LEASE && this.ttl <= PROMPT_PACE.ttl;
+    return this.lease !== NO_LEASE && this.ttl <= SHORT_LEASE.ttl;
   }
 
-  /** This node runs jobs, relays the store or gives orders from now on, and for as long as it lives. */
+  /**
+   * Requests a short lease until this process ends; called when this node runs jobs, relays the
+   * store or gives orders.
+   */
   requireShortLease(): void {
-    if (this.areDutiesTaken) return;
-    this.areDutiesTaken = true;
+    if (this.isShortLeaseRequired) return;
+    this.isShortLeaseRequired = true;
     this.renewLeaseSoon();
   }
 
-  /** Renews the lease now unless that was just done: something hints that the store is out of reach. */
+  /** Renews the lease now unless that was just done; called when the store may be unreachable. */
   renewLeaseSoon(): void {
-    const age = this.options.clock.now() - this.triedAt;
+    const age = this.options.clock.now() - this.lastRenewalSentAt;
     if (this.isStopped || this.isRenewing) return;
-    if (age < LEAST_RENEWAL_PAUSE && this.isPaceRight) return;
+    if (age < MIN_RENEWAL_INTERVAL && this.hasRequiredLease) return;
     clearTimeout(this.timer);
     void this.renew();
   }
 
-  /** The machine may have been suspended: its lease may be over, and connections may be dead. */
+  /**
+   * Restarts the watch and renews the lease, as both may be lost after a suspension of the machine.
+   */
   noteSuspended(): void {
     this.watcher.restart();
-    this.triedAt = Number.NEGATIVE_INFINITY;
+    this.lastRenewalSentAt = Number.NEGATIVE_INFINITY;
     this.renewLeaseSoon();
   }
 
-  /** Removes this node's record, so that others need not wait for its lease to run out. */
+  /** Ends the lease, so that others need not wait for it to expire. */
   async stop(): Promise<void> {
     this.isStopped = true;
     clearTimeout(this.timer);
@@ -173,146 +178,154 @@
     if (this.lease !== NO_LEASE) await this.options.store.revokeLease(this.lease);
   }
 
-  /** Whether this life of a node is live, as far as this node knows. */
+  /** Whether an incarnation of a node is live, as far as this node knows. */
   isLive(owner: JobOwner): boolean {
     return this.live.get(owner.node)?.incarnation === owner.incarnation;
   }
 
-  /** Names of the live nodes. */
   liveNodes(): string[] {
     return [...this.live.keys()];
   }
 
-  /** The live life of a node. */
+  /** The live incarnation of a node. */
   incarnationOf(node: NodeId): JobOwner | undefined {
     const record = this.live.get(node);
     if (record === undefined) return undefined;
     return { node, incarnation: record.incarnation, address: record.address };
   }
 
-  /** The live lives of all nodes. */
+  /** The live incarnations of all nodes. */
   liveIncarnations(): JobOwner[] {
-    const lives = [...this.live];
-    return lives.map(([node, { incarnation, address }]) => ({ node, incarnation, address }));
+    const entries = [...this.live];
+    return entries.map(([node, { incarnation, address }]) => ({ node, incarnation, address }));
   }
 
-  /** Where a live node is reached. */
   addressOf(node: NodeId): string | undefined {
     return this.live.get(node)?.address;
   }
 
-  /** The zone of a live node. */
   zoneOf(node: NodeId): ZoneName | undefined {
     return this.live.get(node)?.zone;
   }
 
-  /** Processor share of a live node's machine, in cores of ordinary speed. */
+  /** CPU share of a live node's machine, in standard cores; 0 if the node is unknown. */
   capacityOf(node: NodeId): number {
     return this.live.get(node)?.capacity ?? 0;
   }
 
-  /** Whether every node that may live reads a format, so that it may be written. */
+  /** Whether every node that may be running reads a format, so that it may be written. */
   isReadByAll(format: FormatVersion): boolean {
     return this.formats.isReadByAll(format, suspendAwareTime(this.options.clock));
   }
 
-  /** Whether the store was silent, as the renewals show, within the last time. */
+  /** Whether the store left a renewal unanswered within the given time before now. */
   wasStoreUnreachableWithin(duration: Milliseconds): boolean {
-    return this.isStoreSilent || this.options.clock.now() - this.regainedAt < duration;
+    return this.isStoreSilent || this.options.clock.now() - this.reconnectedAt < duration;
   }
 
-  /** Whether the store has not answered this node for a while, whomever else it answers. */
+  /** Whether the store has not answered this node for a while; other nodes may still reach it. */
   get isStoreUnreachable(): boolean {
-    return this.isStoreSilent && this.options.clock.now() - this.silentSince > CUT_OFF_AGE;
+    return this.isStoreSilent && this.options.clock.now() - this.silentSince > OUTAGE_THRESHOLD;
   }
 
-  /** The lease of this node's record; `NO_LEASE` while there is none. */
+  /** The lease of this node's record, or `NO_LEASE`. */
   get leaseId(): LeaseId {
     return this.lease;
   }
 
-  /** Time for which the lease surely goes on, by this node's own clock; negative when over. */
+  /** Minimum remaining time of the lease by this node's clock; negative once it expired. */
   leaseRemaining(): Milliseconds {
     return this.renewedAt + this.ttl - suspendAwareTime(this.options.clock);
   }
 
-  /** Time since the store last renewed the lease, counted from when the renewal was sent. */
+  /** Time since the last successful renewal of the lease was sent. */
   renewalAge(): Milliseconds {
     return suspendAwareTime(this.options.clock) - this.renewedAt;
   }
 
-  private take(change: StoreChange): void {
+  private applyChange(change: StoreChange): void {
     if (!change.key.startsWith(NODE_PREFIX)) {
       if (change.key.startsWith(REPLICA_PREFIX)) this.noteReplica(change);
       this.otherChanges.next(change);
       return;
     }
     const node = change.key.slice(NODE_PREFIX.length);
-    const before = this.live.get(node);
+    const previous = this.live.get(node);
     const record = change.value === undefined ? undefined : parseNodeRecord(change.value);
     if (record === undefined) {
       this.live.delete(node);
-      this.formats.noteGone(node, suspendAwareTime(this.options.clock));
+      this.formats.noteExpired(node, suspendAwareTime(this.options.clock));
     } else {
       this.live.set(node, record);
       this.formats.note(node, record.format);
     }
-    if (before?.incarnation === record?.incarnation) return;
+    if (previous?.incarnation === record?.incarnation) return;
     const state = record === undefined ? 'gone' : 'live';
-    const told = record === undefined ? {} : { format: record.format };
-    this.options.log.state('fleet-node', { peer: node, state, ...told, live: this.live.size });
+    const formatField = record === undefined ? {} : { format: record.format };
+    this.options.log.state('fleet-node', {
+      peer: node,
+      state,
+      ...formatField,
+      live: this.live.size,
+    });
     const cause = record === undefined ? 'lease-over' : 'replaced';
-    if (before !== undefined) this.terminations.next({ node, zone: before.zone, cause });
+    if (previous !== undefined) this.terminations.next({ node, zone: previous.zone, cause });
     if (record !== undefined) this.arrivals.next(node);
   }
 
-  /** The process on a machine with a disk writes what gateways hand to it, and reads it again. */
+  /** A journal replica reads the records that gateways write, so its format counts as well. */
   private noteReplica({ key, value }: StoreChange): void {
     const format = value === undefined ? undefined : replicaFormatOf(value);
     if (format !== undefined) this.formats.note(key, format);
-    else if (value === undefined) this.formats.noteGone(key, suspendAwareTime(this.options.clock));
+    else if (value === undefined)
+      this.formats.noteExpired(key, suspendAwareTime(this.options.clock));
   }
 
-  private get pace(): LeasePace {
-    return this.areDutiesTaken ? PROMPT_PACE : RELAXED_PACE;
+  private get leaseTiming(): LeaseTiming {
+    return this.isShortLeaseRequired ? SHORT_LEASE : LONG_LEASE;
   }
 
-  /** Whether the lease that is held is as short as this node's duties ask for. */
-  private get isPaceRight(): boolean {
-    return this.lease !== NO_LEASE && this.ttl <= this.pace.ttl;
+  /** Whether the current lease is as short as this node requires. */
+  private get hasRequiredLease(): boolean {
+    return this.lease !== NO_LEASE && this.ttl <= this.leaseTiming.ttl;
   }
 
   private async renew(): Promise<void> {
     const sentAt = this.options.clock.now();
     const renewedAt = suspendAwareTime(this.options.clock);
-    this.triedAt = sentAt;
+    this.lastRenewalSentAt = sentAt;
     this.isRenewing = true;
-    const isKept = this.isPaceRight ? await this.keep() : await this.register();
+    const isRenewed = this.hasRequiredLease
+      ? await this.renewCurrentLease()
+      : await this.register();
     this.isRenewing = false;
-    if (isKept) this.renewedAt = renewedAt;
-    this.noteStore(isKept, sentAt);
+    if (isRenewed) this.renewedAt = renewedAt;
+    this.noteStoreAnswer(isRenewed, sentAt);
     if (this.isStopped) return;
     const elapsed = this.options.clock.now() - sentAt;
-    // While the store is silent, its return is looked for as often as duties would ask.
-    const { renewalInterval } = isKept ? this.pace : PROMPT_PACE;
-    const pause = Math.max(LEAST_RENEWAL_PAUSE / 2, renewalInterval - elapsed);
-    this.timer = setTimeout(() => void this.renew(), this.isPaceRight || !isKept ? pause : 0);
+    // While the store does not answer, it is retried at the short interval.
+    const { renewalInterval } = isRenewed ? this.leaseTiming : SHORT_LEASE;
+    const delay = Math.max(MIN_RENEWAL_INTERVAL / 2, renewalInterval - elapsed);
+    this.timer = setTimeout(
+      () => void this.renew(),
+      this.hasRequiredLease || !isRenewed ? delay : 0,
+    );
   }
 
-  private noteStore(answers: boolean, sentAt: Milliseconds): void {
+  private noteStoreAnswer(answers: boolean, sentAt: Milliseconds): void {
     if (answers === !this.isStoreSilent) return;
     this.silentSince = answers ? Number.POSITIVE_INFINITY : sentAt;
     this.isStoreSilent = !answers;
     this.options.log.state(answers ? 'store-regained' : 'store-lost');
     if (!answers) return;
-    this.regainedAt = this.options.clock.now();
+    this.reconnectedAt = this.options.clock.now();
     this.watcher.restart();
     this.storeReconnected.next();
   }
 
   private async register(): Promise<boolean> {
     const { store, self, zone, log, capacity = 1 } = this.options;
-    const { ttl } = this.pace;
+    const { ttl } = this.leaseTiming;
     const grant = await store.grantLease(ttl);
     if (grant.kind !== 'granted' || this.isStopped) return false;
     const { incarnation, address } = self;
@@ -327,7 +340,7 @@
     return true;
   }
 
-  private async keep(): Promise<boolean> {
+  private async renewCurrentLease(): Promise<boolean> {
     const outcome = await this.options.store.renewLease(this.lease);
     if (outcome.kind === 'kept') return true;
     if (outcome.kind === 'gone') {
--- a/src/fleet/format-versions.ts
+++ b/src/fleet/format-versions.ts
@@ -1,48 +1,49 @@
 /**
- * Which formats the nodes of the fleet read, as their records tell. What older builds can't read is
- * written only once none of them lives.
+ * Tracks which record formats the nodes of the fleet read, so that a format is written only once no
+ * node that cannot read it may be running.
  */
 import type { FormatVersion } from '../core/format-version.js';
 import type { Milliseconds } from '../core/units.js';
 
 /**
- * A node whose lease lapsed may live on, cut off from the store. It counts as living for this long,
- * unless another life takes its place: cuts and outages of the store are shorter.
+ * A node whose lease expired may still be running while partitioned from the store, and counts as
+ * running for this long unless another incarnation replaces it.
  */
-const LAPSED_MEMORY: Milliseconds = 60_000;
+const EXPIRED_NODE_RETENTION: Milliseconds = 60_000;
 
 interface KnownFormat {
   readonly format: FormatVersion;
-  /** Infinite while the node's record is there. */
-  lapsedAt: Milliseconds;
+  /** When the node's record expired; infinite while it exists. */
+  expiredAt: Milliseconds;
 }
 
-/** The formats that nodes read, by their records. */
 export class FormatVersions {
   private readonly nodes = new Map<string, KnownFormat>();
   private isListed = false;
 
-  /** A node's record, or that of a replica, tells its format. */
+  /** Records the format in the record of a node or a journal replica. */
   note(node: string, format: FormatVersion): void {
-    this.nodes.set(node, { format, lapsedAt: Number.POSITIVE_INFINITY });
+    this.nodes.set(node, { format, expiredAt: Number.POSITIVE_INFINITY });
   }
 
-  /** A node's record is gone. */
-  noteGone(node: string, now: Milliseconds): void {
+  /** Records that a node's record was removed. */
+  noteExpired(node: string, now: Milliseconds): void {
     const known = this.nodes.get(node);
-    if (known !== undefined) known.lapsedAt = now;
+    if (known !== undefined) known.expiredAt = now;
   }
 
-  /** The records of all live nodes are known. */
+  /** Records that all live nodes are known. */
   noteListed(): void {
     this.isListed = true;
   }
 
-  /** Whether every node that may live reads a format; not before the fleet is known. */
+  /**
+   * Whether every node that may be running reads a format; `false` before all live nodes are known.
+   */
   isReadByAll(format: FormatVersion, now: Milliseconds): boolean {
     if (!this.isListed) return false;
     return [...this.nodes.values()].every(
-      (known) => known.format >= format || now - known.lapsedAt > LAPSED_MEMORY,
+      (known) => known.format >= format || now - known.expiredAt > EXPIRED_NODE_RETENTION,
     );
   }
 }
--- a/src/fleet/node-record.ts
+++ b/src/fleet/node-record.ts
@@ -1,4 +1,4 @@
-/** What a node tells of itself in the shared store. */
+/** The record that each node registers in the shared store. */
 import * as z from 'zod';
 import { FORMAT_FIELD } from '../core/format-version.js';
 
@@ -6,16 +6,15 @@
   incarnation: z.string(),
   zone: z.string(),
   address: z.string(),
-  /** Processor share of its machine, in cores of ordinary speed. */
+  /** CPU share of the node's machine, in standard cores. */
   capacity: z.number().default(1),
-  /** What its build reads. */
+  /** Format version that the node's build reads. */
   format: FORMAT_FIELD,
 });
 
-/** What a node tells of itself. */
 export type NodeRecord = z.infer<typeof NODE_RECORD>;
 
-/** Reads a record; `undefined` where the text is none. */
+/** Parses a record; `undefined` if the text is invalid. */
 export function parseNodeRecord(text: string): NodeRecord | undefined {
   try {
     return NODE_RECORD.safeParse(JSON.parse(text)).data;
--- a/src/fleet/peer-limits.ts
+++ b/src/fleet/peer-limits.ts
@@ -1,5 +1,5 @@
-/** Times that both who asks another node and who answers go by. */
+/** Timeouts that the sender and the receiver of a request share. */
 import type { Milliseconds } from '../core/units.js';
 
-/** Time for a job to be ended: a commit of the store, repeated once. */
-export const END_LIMIT: Milliseconds = 600;
+/** Time to cancel a job: a commit of the store, repeated once. */
+export const CANCELLATION_TIMEOUT: Milliseconds = 600;
--- a/src/fleet/peer-monitor.ts
+++ b/src/fleet/peer-monitor.ts
@@ -1,11 +1,10 @@
 /**
- * Watches a few other nodes by asking them directly, so that a dead or frozen one, or one that does
- * not reach the store, is noticed long before its lease runs out. Each node is watched by the nodes that follow it on a ring of names;
- * the cost for one node therefore does not grow with the fleet. A region is a ring of its own: a link
- * between regions that is cut makes nobody suspect all nodes beyond it.
+ * Failure detector: probes a few other nodes directly, so that a failed one, or one that does not
+ * reach the store, is noticed long before its lease expires. Each node probes its successors on a
+ * hash ring of the nodes of its region.
  *
- * A suspicion only lets jobs be taken over; a node that is suspected wrongly loses a commit and
- * stops, so nothing rests on it being right.
+ * A suspicion only starts a takeover of jobs. A node that is suspected wrongly loses a commit and
+ * stops, so correctness does not depend on suspicions.
  */
 import { Subject } from 'rxjs';
 import { placementHash } from '../core/hashing.js';
@@ -17,26 +16,25 @@
 import type { DecisionLog } from '../telemetry/decision-log.js';
 import type { FleetRegistry } from './fleet-registry.js';
 
-/** Nodes that each node watches. */
-const WATCHED_NODES = 2;
+const MONITORED_NODE_COUNT = 2;
 
-/** Time between two probes of a node, and for the answer to one. */
+/** Interval between probes of a node, and the timeout of each. */
 const PROBE_INTERVAL: Milliseconds = 300;
-const PROBE_LIMIT: Milliseconds = 400;
+const PROBE_TIMEOUT: Milliseconds = 400;
 
-/** Time between two probes of a node that answers and whom nobody would miss at once. */
-const RELAXED_PROBE_INTERVAL: Milliseconds = 1_500;
+/** Interval between probes of a node that is healthy and does not need a short lease. */
+const IDLE_PROBE_INTERVAL: Milliseconds = 1_500;
 
-/** Probes in a row without an answer that make a suspicion. */
-const SILENT_LIMIT = 3;
-/** The same where the connection is refused, as the process is then gone. */
-const REFUSED_LIMIT = 2;
+/** Consecutive unanswered probes after which a node is suspected. */
+const UNANSWERED_PROBE_LIMIT = 3;
+/** The same for refused connections, as the process has then terminated. */
+const REFUSED_PROBE_LIMIT = 2;
 
-/** Answers in a row that tell of a store out of reach, while it answers here. */
-const CUT_OFF_LIMIT = 3;
+/** Consecutive answers that report an unreachable store after which a node is suspected. */
+const STORE_UNREACHABLE_LIMIT = 3;
 
-/** After the store was silent here too, others may need so long to hear of its return. */
-const RETURN_TIME: Milliseconds = 2_000;
+/** Other nodes may notice so much later than this one that the store is reachable again. */
+const STORE_RECOVERY_TIME: Milliseconds = 2_000;
 
 /** Options of {@link PeerMonitor}. */
 export interface PeerMonitorOptions {
@@ -45,139 +43,145 @@
   readonly self: JobOwner;
   readonly clock: Pick<Clock, 'now'>;
   readonly log: DecisionLog;
-  /** Whether a node is of this node's region, and so may be watched. @default all are */
+  /** Whether a node is in this node's region and may be monitored. @default all are */
   readonly isInSameRegion?: (node: NodeId) => boolean;
 }
 
-/** A life of a node that fell silent, or answers and does not reach the store. */
+/** An incarnation that stopped answering, or that answers and does not reach the store. */
 export interface Suspicion {
   readonly owner: JobOwner;
   readonly ownerAnswers: boolean;
-  /** Nodes between the suspected one and this one on the ring; they act first. */
+  /** Number of nodes between this one and the suspected one on the ring; these act first. */
   readonly rank: number;
 }
 
-interface WatchedNode {
+interface MonitoredNode {
   readonly owner: JobOwner;
-  silent: number;
-  refused: number;
-  cutOff: number;
+  unansweredProbes: number;
+  refusedProbes: number;
+  storeUnreachableAnswers: number;
   isSuspected: boolean;
-  isAsked: boolean;
-  /** Steady time of the next probe. */
+  isProbing: boolean;
+  /** Time of the next probe, by the steady clock. */
   nextProbeAt: Milliseconds;
 }
 
-/** Probes the nodes that this one watches. */
+/** Probes the monitored nodes and emits suspicions. */
 export class PeerMonitor {
-  /** Lives of nodes that fell silent. */
+  /** Incarnations that became suspected. */
   readonly suspicions = new Subject<Suspicion>();
-  private readonly watched = new Map<NodeId, WatchedNode>();
+  private readonly monitored = new Map<NodeId, MonitoredNode>();
   private timer: NodeJS.Timeout | undefined;
 
   constructor(private readonly options: PeerMonitorOptions) {}
 
-  /** Begins to probe. */
   start(): void {
-    this.timer = setInterval(() => this.round(), PROBE_INTERVAL);
+    this.timer = setInterval(() => this.probeDue(), PROBE_INTERVAL);
   }
 
-  /** Probes no more. */
   stop(): void {
     clearInterval(this.timer);
   }
 
-  /** Whether this life of a node counts as dead here. */
+  /** Whether an incarnation of a node is suspected. */
   isSuspected(owner: JobOwner): boolean {
-    const watched = this.watched.get(owner.node);
-    return watched?.owner.incarnation === owner.incarnation && watched.isSuspected;
+    const monitored = this.monitored.get(owner.node);
+    return monitored?.owner.incarnation === owner.incarnation && monitored.isSuspected;
   }
 
-  private round(): void {
-    const targets = this.targets();
-    for (const node of this.watched.keys()) if (!targets.includes(node)) this.watched.delete(node);
-    for (const node of targets) {
+  private probeDue(): void {
+    const targetNodes = this.targets();
+    for (const node of this.monitored.keys())
+      if (!targetNodes.includes(node)) this.monitored.delete(node);
+    for (const node of targetNodes) {
       const owner = this.options.fleet.incarnationOf(node);
       const address = this.options.fleet.addressOf(node);
       if (owner === undefined || address === undefined) continue;
-      const watched = this.watchedNode(owner);
-      const isDue = this.options.clock.now() >= watched.nextProbeAt;
-      if (isDue && !watched.isAsked) void this.probe(watched, address);
+      const monitored = this.monitoredNode(owner);
+      const isDue = this.options.clock.now() >= monitored.nextProbeAt;
+      if (isDue && !monitored.isProbing) void this.probe(monitored, address);
     }
   }
 
-  private watchedNode(owner: JobOwner): WatchedNode {
-    const known = this.watched.get(owner.node);
+  private monitoredNode(owner: JobOwner): MonitoredNode {
+    const known = this.monitored.get(owner.node);
     if (known?.owner.incarnation === owner.incarnation) return known;
-    const counts = { silent: 0, refused: 0, cutOff: 0 };
-    const fresh = { owner, ...counts, isSuspected: false, isAsked: false, nextProbeAt: 0 };
-    this.watched.set(owner.node, fresh);
+    const counts = { unansweredProbes: 0, refusedProbes: 0, storeUnreachableAnswers: 0 };
+    const fresh = { owner, ...counts, isSuspected: false, isProbing: false, nextProbeAt: 0 };
+    this.monitored.set(owner.node, fresh);
     return fresh;
   }
 
-  private async probe(watched: WatchedNode, address: string): Promise<void> {
-    watched.isAsked = true;
-    const { owner } = watched;
+  private async probe(monitored: MonitoredNode, address: string): Promise<void> {
+    monitored.isProbing = true;
+    const { owner } = monitored;
     const outcome = await this.options.peers.request(
       address,
       { kind: 'probe', owner },
-      PROBE_LIMIT,
+      PROBE_TIMEOUT,
     );
-    watched.isAsked = false;
+    monitored.isProbing = false;
     const isAlive = outcome.kind === 'answered' && outcome.answer.isAlive;
-    const isOtherLife = outcome.kind === 'answered' && !outcome.answer.isAlive;
+    const isOtherIncarnation = outcome.kind === 'answered' && !outcome.answer.isAlive;
     if (isAlive) {
-      watched.silent = 0;
-      watched.refused = 0;
+      monitored.unansweredProbes = 0;
+      monitored.refusedProbes = 0;
       const { hasDuties, reachesStore } = outcome.answer;
-      const isQuiet = !hasDuties && reachesStore;
-      // Half an interval early: rounds come a little late.
-      const pause = isQuiet ? RELAXED_PROBE_INTERVAL - PROBE_INTERVAL / 2 : 0;
-      watched.nextProbeAt = this.options.clock.now() + pause;
-      this.noteStoreReach(watched, reachesStore);
+      const isIdle = !hasDuties && reachesStore;
+      // Half an interval less, as timer rounds are a little late.
+      const delay = isIdle ? IDLE_PROBE_INTERVAL - PROBE_INTERVAL / 2 : 0;
+      monitored.nextProbeAt = this.options.clock.now() + delay;
+      this.noteStoreReachability(monitored, reachesStore);
       return;
     }
-    watched.silent += 1;
-    if (outcome.kind === 'refused') watched.refused += 1;
-    const isGone = isOtherLife || watched.refused >= REFUSED_LIMIT;
-    if (isGone || watched.silent >= SILENT_LIMIT) this.suspect(watched, outcome.kind, false);
+    monitored.unansweredProbes += 1;
+    if (outcome.kind === 'refused') monitored.refusedProbes += 1;
+    const isTerminated = isOtherIncarnation || monitored.refusedProbes >= REFUSED_PROBE_LIMIT;
+    if (isTerminated || monitored.unansweredProbes >= UNANSWERED_PROBE_LIMIT)
+      this.suspect(monitored, outcome.kind, false);
   }
 
-  private noteStoreReach(watched: WatchedNode, reachesStore: boolean): void {
-    const isAlone = !reachesStore && !this.options.fleet.wasStoreUnreachableWithin(RETURN_TIME);
-    watched.cutOff = isAlone ? watched.cutOff + 1 : 0;
-    if (watched.cutOff >= CUT_OFF_LIMIT) this.suspect(watched, 'cut-off', true);
-    else if (reachesStore) this.clear(watched);
+  private noteStoreReachability(monitored: MonitoredNode, reachesStore: boolean): void {
+    const isUnreachableThereOnly =
+      !reachesStore && !this.options.fleet.wasStoreUnreachableWithin(STORE_RECOVERY_TIME);
+    monitored.storeUnreachableAnswers = isUnreachableThereOnly
+      ? monitored.storeUnreachableAnswers + 1
+      : 0;
+    if (monitored.storeUnreachableAnswers >= STORE_UNREACHABLE_LIMIT)
+      this.suspect(monitored, 'cut-off', true);
+    else if (reachesStore) this.clearSuspicion(monitored);
   }
 
-  private suspect(watched: WatchedNode, cause: string, ownerAnswers: boolean): void {
-    if (watched.isSuspected || this.watched.get(watched.owner.node) !== watched) return;
-    watched.isSuspected = true;
-    this.options.log.state('node-suspected', { peer: watched.owner.node, cause });
-    const rank = Math.max(0, this.targets().indexOf(watched.owner.node));
-    this.suspicions.next({ owner: watched.owner, ownerAnswers, rank });
+  private suspect(monitored: MonitoredNode, cause: string, ownerAnswers: boolean): void {
+    if (monitored.isSuspected || this.monitored.get(monitored.owner.node) !== monitored) return;
+    monitored.isSuspected = true;
+    this.options.log.state('node-suspected', { peer: monitored.owner.node, cause });
+    const rank = Math.max(0, this.targets().indexOf(monitored.owner.node));
+    this.suspicions.next({ owner: monitored.owner, ownerAnswers, rank });
   }
 
-  private clear(watched: WatchedNode): void {
-    if (!watched.isSuspected) return;
-    watched.isSuspected = false;
-    this.options.log.state('node-trusted', { peer: watched.owner.node });
+  private clearSuspicion(monitored: MonitoredNode): void {
+    if (!monitored.isSuspected) return;
+    monitored.isSuspected = false;
+    this.options.log.state('node-trusted', { peer: monitored.owner.node });
   }
 
-  /** The nodes that follow this one on the ring of hashed names. */
+  /** The successors of this node on the ring of hashed names. */
   private targets(): NodeId[] {
-    const { isInSameRegion: isNear = () => true } = this.options;
+    const { isInSameRegion = () => true } = this.options;
     const self = this.options.self.node;
     const start = placementHash(self);
-    const others = this.options.fleet.liveNodes().filter((node) => node !== self && isNear(node));
-    const placed = others.map((node) => ({
+    const others = this.options.fleet
+      .liveNodes()
+      .filter((node) => node !== self && isInSameRegion(node));
+    const positioned = others.map((node) => ({
       node,
-      place: (placementHash(node) - start + RING_SIZE) % RING_SIZE,
+      position: (placementHash(node) - start + RING_SIZE) % RING_SIZE,
     }));
-    placed.sort((left, right) => left.place - right.place);
-    return placed.slice(0, WATCHED_NODES).map(({ node }) => node);
+    positioned.sort((left, right) => left.position - right.position);
+    return positioned.slice(0, MONITORED_NODE_COUNT).map(({ node }) => node);
   }
 }
 
-/** Hashes lie in `[0, 2^32)`. */
+/** Hashes are in `[0, 2^32)`. */
 const RING_SIZE = 2 ** 32;
--- a/src/fleet/peer-request-handler.ts
+++ b/src/fleet/peer-request-handler.ts
@@ -1,4 +1,4 @@
-/** Answers the questions that other nodes of the fleet ask this one. */
+/** Answers the requests of other nodes of the fleet. */
 import type { Milliseconds } from '../core/units.js';
 import { type Failure, failure } from '../errors/error-kinds.js';
 import type { WeightNeed } from '../jobs/job-peers.js';
@@ -19,7 +19,7 @@
 import type { CallerIdentity } from '../tenants/tenant.js';
 import type { CoordinatorLock } from './coordinator-lock.js';
 import type { FleetRegistry } from './fleet-registry.js';
-import { END_LIMIT } from './peer-limits.js';
+import { CANCELLATION_TIMEOUT } from './peer-limits.js';
 import type { WatchRelay } from './watch-relay.js';
 import type { WeightChange } from './weight-changes.js';
 
@@ -31,26 +31,28 @@
   readonly jobs: () => JobService;
   readonly lock: () => CoordinatorLock;
   readonly relay: () => WatchRelay;
-  /** Called on the holder of the duties: what workers began to run for another node. */
+  /** Called on the coordinator with the usage that another node reports. */
   readonly onUsageReported: (source: UsageSource, counts: WindowCounts) => void;
-  /** Another node was told by a broken connection that a worker ended. */
+  /** Called when another node reports a crashed worker. */
   readonly onWorkerCrashed: (report: CrashReport) => void;
-  /** Called on the coordinator: what a job needs. */
+  /** Called on the coordinator with the weights that a job needs. */
   readonly onWeightsNeeded: (need: WeightNeed) => void;
-  /** A worker changes weights, or has. */
+  /** Called when a worker starts or completes a change of weights. */
   readonly onWeightChanged: (change: WeightChange) => void;
-  /** Called on the coordinator: permits that another node wishes for. */
+  /**
+   * Called on the coordinator: decides on permits to use cold workers that another node requests.
+   */
   readonly permits: (wishes: readonly PermitRequest[]) => PermitAnswer;
-  /** Whether this zone takes jobs in while the store is out of reach. */
+  /** Whether this zone accepts jobs while the store is unreachable. */
   readonly acceptsJobsWithoutStore: () => boolean;
 }
 
-/** This node, as the others ask it. */
+/** Dispatches each request to the component that answers it. */
 export class PeerRequestHandler implements PeerHandler {
   constructor(private readonly options: PeerRequestHandlerOptions) {}
 
   async answer(request: PeerRequest): Promise<PeerAnswers[PeerRequest['kind']] | undefined> {
-    const { self, jobs, onWeightsNeeded: weightsNeeded } = this.options;
+    const { self, jobs, onWeightsNeeded } = this.options;
     switch (request.kind) {
       case 'probe':
         return {
@@ -63,7 +65,7 @@
       case 'job-results':
         return jobs().ownListing(request.job, request.after, request.wait);
       case 'end-job':
-        return { isEnded: await this.endHere(request.job, request.caller) };
+        return { isEnded: await this.cancelOwned(request.job, request.caller) };
       case 'surrender-job':
         return { work: jobs().releaseTakenOver(request.job, request.zone) };
       case 'submit-for':
@@ -75,9 +77,9 @@
       case 'item-body':
         return jobs().ownItemBody(request.job, request.item);
       case 'read-for':
-        return { read: await this.readHere(request) };
+        return { read: await this.readFor(request) };
       case 'end-for':
-        return { failure: await this.endFor(request.job, request.caller) };
+        return { failure: await this.cancelFor(request.job, request.caller) };
       case 'take-job':
         return { isTaken: await jobs().takeReleased(request.job) };
       case 'follow-prefix':
@@ -98,44 +100,44 @@
       case 'cold-permits':
         return this.options.permits(request.wishes);
       case 'need-weights':
-        weightsNeeded(request.need);
+        onWeightsNeeded(request.need);
         return { isNoted: true };
       default:
         return undefined;
     }
   }
 
-  private async endHere(job: string, caller: CallerIdentity): Promise<boolean> {
-    const { fleet, jobs, acceptsJobsWithoutStore: takesJobsAlone } = this.options;
-    return (!fleet.isStoreUnreachable || takesJobsAlone()) && jobs().cancelOwn(job, caller);
+  private async cancelOwned(job: string, caller: CallerIdentity): Promise<boolean> {
+    const { fleet, jobs, acceptsJobsWithoutStore: acceptsJobs } = this.options;
+    return (!fleet.isStoreUnreachable || acceptsJobs()) && jobs().cancelOwn(job, caller);
   }
 
-  private endFor(job: string, caller: CallerIdentity): Promise<Failure | undefined> {
-    return this.options.jobs().cancelHere(job, caller, this.whileAsked(END_LIMIT));
+  private cancelFor(job: string, caller: CallerIdentity): Promise<Failure | undefined> {
+    return this.options.jobs().cancelHere(job, caller, this.untilTimeout(CANCELLATION_TIMEOUT));
   }
 
-  private readHere(request: PeerRequestOf<'read-for'>): Promise<ResultSlice | Failure> {
+  private readFor(request: PeerRequestOf<'read-for'>): Promise<ResultSlice | Failure> {
     const { job, after, wait, caller } = request;
     return this.options.jobs().readForPeer(job, after, wait, caller);
   }
 
-  /** Takes a job in for another node; refuses at once where the store is out of reach. */
+  /** Accepts a job for another node; rejects it at once if the store is unreachable. */
   private async submitFor({
     spec,
     limit,
     isFromOutside = false,
   }: PeerRequestOf<'submit-for'>): Promise<Failure | undefined> {
-    const { fleet, jobs, acceptsJobsWithoutStore: takesJobsAlone } = this.options;
-    if (fleet.isStoreUnreachable && (isFromOutside || !takesJobsAlone())) {
+    const { fleet, jobs, acceptsJobsWithoutStore: acceptsJobs } = this.options;
+    if (fleet.isStoreUnreachable && (isFromOutside || !acceptsJobs())) {
       return failure('ledger_unavailable', 'the store does not answer', {
         retryAfter: STORE_RETRY_AFTER,
       });
     }
-    return jobs().submitHere(spec, this.whileAsked(limit), isFromOutside);
+    return jobs().submitHere(spec, this.untilTimeout(limit), isFromOutside);
   }
 
-  /** True for a time from now on. */
-  private whileAsked(limit: Milliseconds): () => boolean {
+  /** Returns a predicate that holds for a time from now on. */
+  private untilTimeout(limit: Milliseconds): () => boolean {
     const { clock } = this.options;
     const end = clock.now() + limit;
     return () => clock.now() < end;
--- a/src/fleet/peer-requester.ts
+++ b/src/fleet/peer-requester.ts
@@ -1,4 +1,4 @@
-/** Questions to other nodes by their names, counted by kind and outcome. */
+/** Sends requests to other nodes by name and counts them by kind and outcome. */
 import type { NodeId, ZoneName } from '../core/identity.js';
 import type { Milliseconds } from '../core/units.js';
 import type { JobOwner } from '../jobs/job-records.js';
@@ -18,11 +18,11 @@
 import type { FleetMetrics } from '../telemetry/fleet-metrics.js';
 import type { FleetRegistry } from './fleet-registry.js';
 
-/** Time for the answer to a probe: a few turns of a busy node's event loop. */
-const PROBE_LIMIT: Milliseconds = 250;
+/** Several iterations of a busy node's event loop. */
+const PROBE_TIMEOUT: Milliseconds = 250;
 
-/** Nodes that are asked whether they reach the store. */
-const MOST_STORE_PROBES = 4;
+/** Number of nodes that are probed for access to the store. */
+const MAX_STORE_PROBES = 4;
 
 /** Options of {@link PeerRequester}. */
 export interface PeerRequesterOptions {
@@ -31,15 +31,15 @@
   readonly self: JobOwner;
   readonly zone: ZoneName;
   readonly metrics: FleetMetrics;
-  /** How far zones are from each other. @default all are of one region */
+  /** Distance between zones. @default all zones are in one region */
   readonly distanceBetween?: DistanceBetween;
 }
 
-/** Asks other nodes. */
+/** Sends requests to other nodes. */
 export class PeerRequester {
   constructor(private readonly options: PeerRequesterOptions) {}
 
-  /** Asks a live node; `undefined` where it is not known. */
+  /** Sends a request to a live node; `undefined` if the node is not known. */
   async request<Kind extends PeerRequest['kind']>(
     node: NodeId,
     request: PeerRequestOf<Kind>,
@@ -49,7 +49,7 @@
     return address === undefined ? undefined : this.requestAt<Kind>(address, request, limit);
   }
 
-  /** Asks whoever lives at an address. */
+  /** Sends a request to whichever process listens at an address. */
   async requestAt<Kind extends PeerRequest['kind']>(
     address: string,
     request: PeerRequestOf<Kind>,
@@ -67,7 +67,7 @@
     return answer?.isAlive === true && answer.reachesStore;
   }
 
-  /** Whether a node answers, whatever it reaches. */
+  /** Whether a node answers, even if it does not reach the store. */
   async isAlive(node: NodeId): Promise<boolean> {
     return (await this.probe(node))?.isAlive ?? false;
   }
@@ -75,13 +75,13 @@
   private async probe(node: NodeId): Promise<PeerAnswers['probe'] | undefined> {
     const owner = this.options.fleet.incarnationOf(node);
     if (owner === undefined) return undefined;
-    const outcome = await this.request<'probe'>(node, { kind: 'probe', owner }, PROBE_LIMIT);
+    const outcome = await this.request<'probe'>(node, { kind: 'probe', owner }, PROBE_TIMEOUT);
     return outcome?.kind === 'answered' ? outcome.answer : undefined;
   }
 
   /**
-   * Where this node is cut off from the store: another one that is not, of the own zone if possible,
-   * else of the own region.
+   * Finds a node that reaches the store, in this zone if possible, else in this region; `undefined`
+   * if this node reaches the store itself or no such node answers.
    */
   async findNodeReachingStore(
     where: 'anywhere' | 'own-zone' = 'anywhere',
@@ -94,15 +94,18 @@
     return (await Promise.all(states)).find((node) => node !== undefined);
   }
 
-  /** The nearest nodes; some of the other region, if there is one, as a whole region may be cut off. */
+  /**
+   * The nearest nodes, and some of another region if there is one, as a whole region may be
+   * partitioned from the store.
+   */
   private nodesToProbe(where: 'anywhere' | 'own-zone', mayAsk: MayHold): NodeId[] {
     const { fleet, self, zone, distanceBetween = distanceInOneRegion } = this.options;
     const others = fleet.liveNodes().filter((node) => node !== self.node && mayAsk(node));
-    const at = (distance: ZoneDistance): NodeId[] =>
+    const nodesAt = (distance: ZoneDistance): NodeId[] =>
       others.filter((node) => distanceBetween(zone, fleet.zoneOf(node) ?? zone) === distance);
-    if (where === 'own-zone') return at('same-zone').slice(0, MOST_STORE_PROBES);
-    const beyond = at('other-region').slice(0, MOST_STORE_PROBES / 2);
-    const near = [...at('same-zone'), ...at('same-region')];
-    return [...near.slice(0, MOST_STORE_PROBES - beyond.length), ...beyond];
+    if (where === 'own-zone') return nodesAt('same-zone').slice(0, MAX_STORE_PROBES);
+    const otherRegion = nodesAt('other-region').slice(0, MAX_STORE_PROBES / 2);
+    const ownRegion = [...nodesAt('same-zone'), ...nodesAt('same-region')];
+    return [...ownRegion.slice(0, MAX_STORE_PROBES - otherRegion.length), ...otherRegion];
   }
 }
--- a/src/fleet/prefix-sources.ts
+++ b/src/fleet/prefix-sources.ts
@@ -1,16 +1,16 @@
 /**
- * Who told of each followed prefix last, and when: a change of the source, and how long nobody told,
- * is what a late change is explained by.
+ * Tracks from which source this node last received each prefix, and logs changes of the source and
+ * the time without one.
  */
 import type { NodeId } from '../core/identity.js';
 import type { Milliseconds } from '../core/units.js';
 import { type Clock, suspendAwareTime } from '../serving/clock.js';
 import type { DecisionLog } from '../telemetry/decision-log.js';
 
-/** The source of a prefix that comes from the store without a relay. */
+/** The source of a prefix that is read from the store directly. */
 export const STORE_SOURCE = 'store';
 
-/** The source of a prefix of which neither a relay nor the store tells. */
+/** The source of a prefix that neither a relay nor the store provides. */
 const NO_SOURCE = 'nobody';
 
 /** Options of {@link PrefixSources}. */
@@ -19,13 +19,14 @@
   readonly log: Pick<DecisionLog, 'state'>;
 }
 
-/** A relay by its name, the store, or nobody. */
+/**
+ * The name of a relay, {@link STORE_SOURCE} or {@link NO_SOURCE}, and the time of the last update.
+ */
 interface PrefixSource {
   readonly source: NodeId;
-  readonly heardAt: Milliseconds;
+  readonly updatedAt: Milliseconds;
 }
 
-/** Keeps in mind where the followed prefixes come from. */
 export class PrefixSources {
   private readonly sources = new Map<string, PrefixSource>();
   /** By {@link suspendAwareTime}. */
@@ -33,8 +34,8 @@
 
   constructor(private readonly options: PrefixSourcesOptions) {}
 
-  /** Whether a prefix has ever been told of. */
-  isKnown(prefix: string): boolean {
+  /** Whether a prefix was received at least once. */
+  wasReceived(prefix: string): boolean {
     return this.sources.has(prefix);
   }
 
@@ -44,30 +45,32 @@
     return suspendAwareTime(this.options.clock) - contactAt;
   }
 
-  /** The store told of a prefix, or another node that was asked answered, whatever it knew. */
+  /**
+   * Records a contact: the store answered about a prefix, or another node did, whatever it knew.
+   */
   noteContact(prefix: string): void {
     this.contacts.set(prefix, suspendAwareTime(this.options.clock));
   }
 
-  /** A source told of a prefix. */
-  noteHeard(prefix: string, source: NodeId): void {
+  /** Records that a source provided a prefix. */
+  noteReceived(prefix: string, source: NodeId): void {
     this.noteContact(prefix);
     const now = this.options.clock.now();
-    const before = this.sources.get(prefix);
-    this.sources.set(prefix, { source, heardAt: now });
-    if (before === undefined || before.source === source) return;
-    const unheardMs = Math.round(now - before.heardAt);
-    const details = { prefix, by: source, before: before.source, unheardMs };
+    const previous = this.sources.get(prefix);
+    this.sources.set(prefix, { source, updatedAt: now });
+    if (previous === undefined || previous.source === source) return;
+    const unheardMs = Math.round(now - previous.updatedAt);
+    const details = { prefix, by: source, before: previous.source, unheardMs };
     this.options.log.state('prefix-followed', details);
   }
 
-  /** Nobody that was asked could tell of a prefix. */
-  noteUnheard(prefix: string, refusals: readonly string[]): void {
-    const before = this.sources.get(prefix);
-    if (before === undefined || before.source === NO_SOURCE) return;
-    this.sources.set(prefix, { source: NO_SOURCE, heardAt: before.heardAt });
-    const unheardMs = Math.round(this.options.clock.now() - before.heardAt);
-    const details = { prefix, by: NO_SOURCE, before: before.source, unheardMs };
-    this.options.log.state('prefix-followed', { ...details, asked: refusals.join(' ') });
+  /** Records that no requested node could provide a prefix. */
+  noteUnavailable(prefix: string, failures: readonly string[]): void {
+    const previous = this.sources.get(prefix);
+    if (previous === undefined || previous.source === NO_SOURCE) return;
+    this.sources.set(prefix, { source: NO_SOURCE, updatedAt: previous.updatedAt });
+    const unheardMs = Math.round(this.options.clock.now() - previous.updatedAt);
+    const details = { prefix, by: NO_SOURCE, before: previous.source, unheardMs };
+    this.options.log.state('prefix-followed', { ...details, asked: failures.join(' ') });
   }
 }
--- a/src/fleet/relay-choice.ts
+++ b/src/fleet/relay-choice.ts
@@ -1,10 +1,10 @@
 /**
- * Which nodes follow the shared store for others, and which of them a follower asks in turn. Each
- * node works this out from the live nodes that it knows; two that disagree for a moment cost a
- * question more, as a node that does not follow the store says so.
+ * Chooses which nodes relay the shared store to others, and which relays a follower requests in
+ * turn. Each node decides from the live nodes that it knows; disagreement costs one rejected
+ * request.
  *
- * Where a fleet spans regions, one relay of each region reads the store, and the others of the region
- * read it by way of that one; followers ask the relays of their region before those of another.
+ * Where a fleet spans regions, one relay of each region reads the store and the other relays of the
+ * region read through it.
  */
 import { rendezvousOrder } from '../core/hashing.js';
 import type { NodeId, ZoneName } from '../core/identity.js';
@@ -12,19 +12,19 @@
 import type { LocalityName } from '../placement/locality.js';
 import type { Clock } from '../serving/clock.js';
 
-/** Nodes of one zone for each one that follows the store. One relay answers some 90 questions a second. */
+/** One relay is used for each started group of this many nodes of a zone. */
 const NODES_PER_RELAY = 40;
 
 /**
- * Relays that are asked before the store is: with one relay a zone, those of four zones. Where two
- * were asked, a blow to two zones left their nodes with relays that were both cut off.
+ * With one relay per zone, this covers four zones, so that a failure of two zones leaves relays
+ * that reach the store.
  */
-const RELAYS_ASKED = 4;
+const MAX_RELAY_ATTEMPTS = 4;
 
-/** Time for which a relay that did not help, while another source did, is not asked again. */
+/** Time during which a relay that failed, while another source answered, is not requested again. */
 const RELAY_PENALTY: Milliseconds = 2_000;
 
-/** The live nodes, as a relay needs to know them. */
+/** The part of the fleet registry that relays need. */
 export interface RelayFleet {
   liveNodes(): string[];
   zoneOf(node: NodeId): ZoneName | undefined;
@@ -40,62 +40,61 @@
   readonly zone: ZoneName;
   readonly clock: Clock;
   /**
-   * The region of a zone, where the fleet spans several; a zone whose region is not known is one by
-   * itself. @default it does not
+   * The region of a zone if the fleet spans regions; a zone of unknown region counts as a region of
+   * its own. @default the fleet does not span regions
    */
   readonly regionOf?: ((zone: ZoneName) => LocalityName) | undefined;
 }
 
-/** Chooses relays. */
 export class RelayChoice {
   private readonly penalizedUntil = new Map<NodeId, Milliseconds>();
 
   constructor(private readonly options: RelayChoiceOptions) {}
 
-  /** Whether this node is to follow the store for others. */
+  /** Whether this node is a relay. */
   get isRelay(): boolean {
     const { fleet, self, zone } = this.options;
     return this.relaysOf(zone, this.nodesByZone(fleet())).includes(self);
   }
 
   /**
-   * The nodes to ask in turn, of the own zone first; `self` where this node is a relay. One that the
-   * store turns away is none for the time being. What it knows of the fleet may be old as well: in the
-   * place of relays that did not answer it asks the nodes that come after them.
+   * The relays to request in order, those of this zone first; `self` if this node is a relay. A
+   * relay that the store rejects acts as a follower for the time being, and requests the next nodes
+   * in place of relays that did not answer, as its list of the fleet may be stale.
    */
-  inOrder(isTurnedAway: boolean): 'self' | readonly NodeId[] {
+  relaysInOrder(isRejectedByStore: boolean): 'self' | readonly NodeId[] {
     const { fleet, self, zone } = this.options;
     const zones = this.nodesByZone(fleet());
     const own = this.relaysOf(zone, zones);
     const isRelay = own.includes(self) || own.length === 0;
-    if (isRelay && !isTurnedAway) return 'self';
-    const ranked = this.ranked(isTurnedAway ? this.othersUsable(zones) : zones);
-    if (isRelay && ranked.length === 0) return 'self';
-    return ranked.filter((node) => this.isUsable(node)).slice(0, RELAYS_ASKED);
+    if (isRelay && !isRejectedByStore) return 'self';
+    const rankedRelays = this.rankedRelays(isRejectedByStore ? this.usableOthers(zones) : zones);
+    if (isRelay && rankedRelays.length === 0) return 'self';
+    return rankedRelays.filter((node) => this.isUsable(node)).slice(0, MAX_RELAY_ATTEMPTS);
   }
 
-  private othersUsable(zones: ReadonlyMap<ZoneName, readonly NodeId[]>): Map<ZoneName, NodeId[]> {
+  private usableOthers(zones: ReadonlyMap<ZoneName, readonly NodeId[]>): Map<ZoneName, NodeId[]> {
     const { self } = this.options;
-    const isAsked = (node: NodeId): boolean => node !== self && this.isUsable(node);
-    return new Map([...zones].map(([name, nodes]) => [name, nodes.filter(isAsked)]));
+    const isCandidate = (node: NodeId): boolean => node !== self && this.isUsable(node);
+    return new Map([...zones].map(([name, nodes]) => [name, nodes.filter(isCandidate)]));
   }
 
-  /** All relays: those of the own zone first, then those of the own region. */
-  private ranked(zones: ReadonlyMap<ZoneName, readonly NodeId[]>): NodeId[] {
+  /** All relays: those of this zone first, then those of this region, then the others. */
+  private rankedRelays(zones: ReadonlyMap<ZoneName, readonly NodeId[]>): NodeId[] {
     const { self, zone } = this.options;
     const others = [...zones.keys()].filter((name) => name !== zone);
-    const near = others.filter((name) => this.isInOwnRegion(name));
-    const far = others.filter((name) => !this.isInOwnRegion(name));
+    const ownRegion = others.filter((name) => this.isInOwnRegion(name));
+    const otherRegions = others.filter((name) => !this.isInOwnRegion(name));
     const relaysIn = (names: ZoneName[]): NodeId[] =>
       names.flatMap((name) => this.relaysOf(name, zones));
-    return [relaysIn([zone]), relaysIn(near), relaysIn(far)].flatMap((nodes) =>
+    return [relaysIn([zone]), relaysIn(ownRegion), relaysIn(otherRegions)].flatMap((nodes) =>
       rendezvousOrder(self, nodes, (node) => node),
     );
   }
 
   /**
-   * The relay of the own region that reads the store for the others; `undefined` where this node is
-   * that one, is to do without it for a while, or the fleet does not span regions.
+   * The relay that reads the store for this region; `undefined` if that is this node, if it failed
+   * recently, or if the fleet does not span regions.
    */
   firstRelay(): NodeId | undefined {
     const { fleet, self, zone, regionOf } = this.options;
@@ -118,7 +117,7 @@
     return this.options.clock.now() >= (this.penalizedUntil.get(node) ?? 0);
   }
 
-  /** Leaves a relay alone for a while. */
+  /** Excludes a relay for {@link RELAY_PENALTY}. */
   penalize(relay: NodeId): void {
     this.penalizedUntil.set(relay, this.options.clock.now() + RELAY_PENALTY);
   }
--- a/src/fleet/relay-upstream.ts
+++ b/src/fleet/relay-upstream.ts
@@ -1,10 +1,10 @@
 /**
- * The shared store as the relays of a region read it: one of them, the first, at the store itself, the
- * others by way of that one. A change then crosses the link to a region once. Where the first does
- * not help, each of the others reads the store for a while, at the price of a copy for each zone.
+ * The shared store as a relay reads it: through the first relay of its region, so that a change
+ * crosses the link to the region once, or directly if this node is the first relay or the first
+ * relay fails.
  *
- * The first relay tells other relays only what it follows at the store itself. Two that take each
- * other for the first therefore learn so at once, and neither believes the other to be current.
+ * The first relay answers other relays only from its own watch of the store, so two relays that
+ * take each other for the first both fall back to the store.
  */
 import type { NodeId } from '../core/identity.js';
 import type { Milliseconds, Revision } from '../core/units.js';
@@ -19,16 +19,16 @@
 import type { RelayChoice, RelayFleet } from './relay-choice.js';
 
 /**
- * Share of the bound for a configuration for which a question to the first relay waits. One that fell
- * silent holds back the followers of the asking relay for as long, and they wait for half of the bound.
+ * Share of the change bound for which a request to the first relay waits. A stalled first relay
+ * delays the followers of this relay by as much, and they wait for half of the bound.
  */
 const WAIT_SHARE = 0.25;
 
-/** Time beyond the wait of a question for its answer. */
-const ANSWER_LIMIT: Milliseconds = 300;
+/** Time for the answer, in addition to the wait. */
+const ANSWER_MARGIN: Milliseconds = 300;
 
-/** Time for the first relay to tell a whole prefix. */
-const LIST_LIMIT: Milliseconds = 600;
+/** Time for the first relay to send a whole prefix. */
+const LIST_TIMEOUT: Milliseconds = 600;
 
 /** Options of {@link RelayUpstream}. */
 export interface RelayUpstreamOptions {
@@ -36,13 +36,13 @@
   readonly choice: Pick<RelayChoice, 'firstRelay' | 'penalize'>;
   readonly peers: PeerPort;
   readonly fleet: () => Pick<RelayFleet, 'addressOf'>;
-  /** Time in which a change of the configuration has to be in force. */
+  /** Time within which a configuration change must take effect. */
   readonly changeBound: () => Milliseconds;
   readonly log: Pick<DecisionLog, 'state'>;
   readonly metrics: FleetMetrics;
 }
 
-/** Another relay that is to be asked before the store is. */
+/** The relay that reads the store for this region. */
 interface FirstRelay {
   readonly node: NodeId;
   readonly address: string;
@@ -50,33 +50,32 @@
 
 type RelayOutcome = PeerOutcome<'list-prefix'> | PeerOutcome<'follow-prefix'>;
 
-/** What a relay reads its prefixes from. */
+/** Lists and watches prefixes through the first relay, with the store as the fallback. */
 export class RelayUpstream implements Pick<SharedStore, 'range' | 'watch'> {
-  /** The first relay that told something last, by prefix; `undefined` for the store. */
+  /** The relay from which each prefix was last read; `undefined` for the store. */
   private readonly sources = new Map<string, NodeId | undefined>();
 
   constructor(private readonly options: RelayUpstreamOptions) {}
 
-  /** Lists a prefix. */
   async range(prefix: string): Promise<StoreRangeOutcome> {
-    const first = this.first();
-    if (first === undefined) return this.options.store.range(prefix);
+    const firstRelay = this.findFirstRelay();
+    if (firstRelay === undefined) return this.options.store.range(prefix);
     const request = { kind: 'list-prefix', prefix, forRelay: true } as const;
     const outcome = await this.options.peers.request<'list-prefix'>(
-      first.address,
+      firstRelay.address,
       request,
-      LIST_LIMIT,
+      LIST_TIMEOUT,
     );
     if (outcome.kind === 'answered' && outcome.answer.isCurrent) {
       const { items, revision } = outcome.answer;
-      this.noteTold(prefix, first.node);
+      this.noteAnswered(prefix, firstRelay.node);
       return { kind: 'items', items, revision };
     }
-    this.noteUnhelpful(prefix, first.node, outcome);
+    this.noteFailed(prefix, firstRelay.node, outcome);
     return this.options.store.range(prefix);
   }
 
-  /** Watches a prefix; what the first relay does not tell is watched at the store from the same place. */
+  /** Watches a prefix; if the first relay fails, the store is watched from the same revision. */
   async watch(
     prefix: string,
     after: Revision,
@@ -84,43 +83,48 @@
     signal: AbortSignal,
   ): Promise<StoreWatchOutcome> {
     const { store, peers, changeBound } = this.options;
-    const first = this.first();
-    if (first === undefined) return store.watch(prefix, after, wait, signal);
+    const firstRelay = this.findFirstRelay();
+    if (firstRelay === undefined) return store.watch(prefix, after, wait, signal);
     const limit = Math.min(wait, WAIT_SHARE * changeBound());
     const request = { kind: 'follow-prefix', prefix, after, wait: limit, forRelay: true } as const;
     const outcome = await peers.request<'follow-prefix'>(
-      first.address,
+      firstRelay.address,
       request,
-      limit + ANSWER_LIMIT,
+      limit + ANSWER_MARGIN,
     );
     if (outcome.kind === 'answered' && outcome.answer.isCurrent) {
       const { answer } = outcome;
-      this.noteTold(prefix, first.node);
+      this.noteAnswered(prefix, firstRelay.node);
       if (answer.changes === undefined) return { kind: 'compacted' };
       return { kind: 'changes', changes: answer.changes, revision: answer.revision };
     }
-    this.noteUnhelpful(prefix, first.node, outcome);
+    this.noteFailed(prefix, firstRelay.node, outcome);
     return store.watch(prefix, after, limit, signal);
   }
 
-  private first(): FirstRelay | undefined {
+  private findFirstRelay(): FirstRelay | undefined {
     const node = this.options.choice.firstRelay();
     const address = node === undefined ? undefined : this.options.fleet().addressOf(node);
     return node === undefined || address === undefined ? undefined : { node, address };
   }
 
-  private noteTold(prefix: string, node: NodeId): void {
+  private noteAnswered(prefix: string, node: NodeId): void {
     this.options.metrics.count('relayed_watches', { outcome: 'current' });
     if (this.sources.get(prefix) === node) return;
     this.sources.set(prefix, node);
     this.options.log.state('relay-upstream', { prefix, by: node });
   }
 
-  private noteUnhelpful(prefix: string, node: NodeId, { kind }: RelayOutcome): void {
-    const told = kind === 'answered' ? 'not-current' : kind;
+  private noteFailed(prefix: string, node: NodeId, { kind }: RelayOutcome): void {
+    const failure = kind === 'answered' ? 'not-current' : kind;
     this.options.choice.penalize(node);
-    this.options.metrics.count('relayed_watches', { outcome: told });
+    this.options.metrics.count('relayed_watches', { outcome: failure });
     this.sources.set(prefix, undefined);
-    this.options.log.state('relay-upstream', { prefix, by: 'store', unhelpful: node, told });
+    this.options.log.state('relay-upstream', {
+      prefix,
+      by: 'store',
+      unhelpful: node,
+      told: failure,
+    });
   }
 }
--- a/src/fleet/zone-autonomy.ts
+++ b/src/fleet/zone-autonomy.ts
@@ -1,4 +1,7 @@
-/** What a gateway has for its zone to go on by itself: the replicas, the journals, and who writes them. */
+/**
+ * Lets a zone accept jobs without the store: joins the zones' journals, the directory of their
+ * replicas, and the liveness of journal writers.
+ */
 import type { NodeId, ZoneName } from '../core/identity.js';
 import type { JobOwner } from '../jobs/job-records.js';
 import { ReplicaDirectory } from '../journal/replica-directory.js';
@@ -10,9 +13,9 @@
 
 /** Options of {@link ZoneAutonomy}. */
 export interface ZoneAutonomyOptions {
-  /** Whether zones serve their own callers; else there are no journals. */
+  /** Whether zones serve their own callers; otherwise there are no journals. */
   readonly isEnabled: boolean;
-  /** Replicas that keep a job. */
+  /** Number of replicas that store a job. */
   readonly groupSize: number;
   readonly self: JobOwner;
   readonly zone: ZoneName;
@@ -22,43 +25,42 @@
   readonly metrics: FleetMetrics;
 }
 
-/** The journals of the zones, as far as there are any. */
 export class ZoneAutonomy {
   /** `undefined` where zones don't serve their own callers. */
   readonly journals: ZoneJournals | undefined;
   private readonly directory: ReplicaDirectory;
 
   constructor(private readonly options: ZoneAutonomyOptions) {
-    const { isEnabled: isOn, self, fleet } = options;
+    const { isEnabled, self, fleet } = options;
     this.directory = new ReplicaDirectory(options);
     fleet.otherChanges.subscribe((change) => this.directory.applyChange(change));
     fleet.listed.subscribe(() => this.directory.noteListed());
     const shared = { ...options, directory: this.directory };
-    this.journals = isOn ? new ZoneJournals({ ...shared, writer: writerOf(self) }) : undefined;
+    this.journals = isEnabled ? new ZoneJournals({ ...shared, writer: writerOf(self) }) : undefined;
   }
 
-  /** Whether this zone takes jobs in while the store is out of reach. */
+  /** Whether this zone accepts jobs while the store is unreachable. */
   get acceptsJobsWithoutStore(): boolean {
     return this.journals?.isUsable ?? false;
   }
 
-  /** Whether a life of a node that wrote to a journal is live. */
+  /** Whether the node incarnation that wrote to a journal is live. */
   isWriterLive(writer: string): boolean {
     return this.options.fleet.liveIncarnations().some((owner) => writerOf(owner) === writer);
   }
 
-  /** Whether a machine with a disk holds nothing that the store lacks. */
+  /** Whether a storage node holds no data that the store lacks. */
   async isStorageEmpty(node: NodeId): Promise<boolean> {
     return this.journals === undefined || !(await this.journals.holdsEntries(node));
   }
 
-  /** A machine with a disk is to be emptied: it gets no new jobs. */
+  /** Excludes a storage node that is being drained from new jobs. */
   noteDraining(node: NodeId): void {
     this.directory.noteDraining(node);
   }
 }
 
-/** The name under which a life of a node writes to journals. */
+/** The name under which a node incarnation writes to journals. */
 function writerOf({ node, incarnation }: JobOwner): string {
   return `${node}/${incarnation}`;
 }
--- a/test/fleet/coordinator-lock.test.ts
+++ b/test/fleet/coordinator-lock.test.ts
@@ -39,7 +39,7 @@
     peers,
     clock,
     log,
-    handOverDelay: () => handOverDelay,
+    transferDelay: () => handOverDelay,
     areTokensChecked: () => areTokensChecked,
   });
   fleet.start();
--- a/test/fleet/format-versions.test.ts
+++ b/test/fleet/format-versions.test.ts
@@ -24,7 +24,7 @@
   const formats = new FormatVersions();
   formats.noteListed();
   formats.note('node-1', FIRST_FORMAT);
-  formats.noteGone('node-1', 1_000);
+  formats.noteExpired('node-1', 1_000);
   t.notOk(formats.isReadByAll(OWN_FORMAT, 60_000));
   t.ok(formats.isReadByAll(OWN_FORMAT, 62_000));
 });
--- a/test/fleet/prefix-sources.test.ts
+++ b/test/fleet/prefix-sources.test.ts
@@ -8,7 +8,7 @@
   const clock = new ManualClock();
   const sources = new PrefixSources({ clock, log: recordingLog().log });
   t.equal(sources.contactAge('op/'), Number.POSITIVE_INFINITY);
-  sources.noteHeard('op/', STORE_SOURCE);
+  sources.noteReceived('op/', STORE_SOURCE);
   clock.time += 100;
   clock.suspended += 9_000;
   t.equal(sources.contactAge('op/'), 9_100);
@@ -20,13 +20,13 @@
   const clock = new ManualClock();
   const { log, lines } = recordingLog();
   const sources = new PrefixSources({ clock, log });
-  sources.noteUnheard('op/', []);
-  sources.noteHeard('op/', 'node-1');
+  sources.noteUnavailable('op/', []);
+  sources.noteReceived('op/', 'node-1');
   clock.time += 400;
-  sources.noteUnheard('op/', ['node-1:silent']);
-  sources.noteUnheard('op/', ['node-1:silent']);
+  sources.noteUnavailable('op/', ['node-1:silent']);
+  sources.noteUnavailable('op/', ['node-1:silent']);
   clock.time += 300;
-  sources.noteHeard('op/', STORE_SOURCE);
+  sources.noteReceived('op/', STORE_SOURCE);
   t.match(
     lines.map((line) => JSON.parse(line)),
     [
--- a/test/fleet/suspended-node.test.ts
+++ b/test/fleet/suspended-node.test.ts
@@ -55,7 +55,7 @@
     peers: SILENT_PEERS,
     clock,
     log,
-    handOverDelay: () => 0,
+    transferDelay: () => 0,
     areTokensChecked: () => false,
   });
   void fleet.start();
