--- a/src/placement/cold-permits.ts
+++ b/src/placement/cold-permits.ts
@@ -1,25 +1,28 @@
-/** What gateways ask about cold workers, and what the one that grants permits answers. */
+/** Messages between gateways and the permit granter about cold workers. */
 import type { Milliseconds, Revision } from '../core/units.js';
 import type { WorkerIncarnation } from '../serving/worker-incarnation.js';
 import type { Warmth } from './worker-warmth.js';
 
 /**
- * Time for which a permit may be used, from when its question was sent. Since it was granted later
- * than that, no permit is used longer than this after its grant, however late the answer comes.
+ * Validity of a permit, counted from the sending of its request. The grant comes later, so no
+ * permit is used longer than this after its grant, however late the answer arrives.
  */
 export const PERMIT_VALIDITY: Milliseconds = 250;
 
-/** What a gateway wants to know of one worker, and how many requests it would send there. */
+/** A gateway's request for permits for one worker. */
 export interface PermitRequest {
   /** Id of the worker. */
   readonly worker: string;
   readonly life: WorkerIncarnation;
   readonly permits: number;
-  /** Age of what made the asker doubt that the worker is warm; `undefined` where it only knows nothing. */
+  /**
+   * Age of the event after which the requester no longer takes the worker for warm; `undefined`
+   * where there was none and the requester has no information yet.
+   */
   readonly doubtAge: Milliseconds | undefined;
 }
 
-/** What is known of one worker, and how many requests may go there. */
+/** Warmth of one worker, and the number of permits granted for it. */
 export interface PermitGrant {
   readonly worker: string;
   readonly life: WorkerIncarnation;
@@ -27,9 +30,8 @@
   readonly permits: number;
 }
 
-/** The answer to wishes. */
 export interface PermitAnswer {
-  /** The granter's fencing token, higher with each granter; `undefined` where the node that was asked is none. */
+  /** Fencing token of the granter, rising with each new one; `undefined` from any other node. */
   readonly term: Revision | undefined;
   readonly grants: readonly PermitGrant[];
 }
--- a/src/placement/cold-tolerance.ts
+++ b/src/placement/cold-tolerance.ts
@@ -1,7 +1,7 @@
-/** What a cold worker may be sent in any second beyond the rate that its service says it bears. */
+/** How far requests to a cold worker may exceed the rate of its `ColdStart` within one second. */
 export interface ColdTolerance {
-  /** Factor of the rate. */
+  /** Multiplies the rate. */
   readonly factor: number;
-  /** Requests beyond that. */
+  /** Added to the multiplied rate. */
   readonly requests: number;
 }
--- a/src/placement/cold-worker-rule.ts
+++ b/src/placement/cold-worker-rule.ts
@@ -1,6 +1,6 @@
 /**
- * A worker that is not known to be warm is sent a request only under a permit. Permits are asked for by the
- * choices that find a cold worker without one, and used up right before a request goes.
+ * Sends requests to cold workers only under permits. A placement that meets a cold worker without a
+ * permit requests some; each request that is sent uses one up.
  */
 import type { Milliseconds, Revision } from '../core/units.js';
 import { type Clock, suspendAwareTime } from '../serving/clock.js';
@@ -16,38 +16,40 @@
 import type { SendRejection, SendRule } from './send-rules.js';
 import type { WorkerWarmth } from './worker-warmth.js';
 
-/** Permits asked for at once for one worker: one to use, one ahead. */
-const WANTED_PERMITS = 2;
+/** Permits requested at a time for one worker: one to use now and one in advance. */
+const PERMITS_PER_REQUEST = 2;
 
-/** Workers in one question; those left out are wished for again by the next choice. */
-const MOST_WISHES = 64;
+/** Workers in one request; the next placement requests permits for those left out. */
+const MAX_REQUESTED_WORKERS = 64;
 
-/** Time for which a worker whose permits went unused is not wished for, so that others get them. */
-const UNUSED_PAUSE: Milliseconds = 500;
+/** Pause in requests for a worker whose permits expired unused, so that other gateways get them. */
+const UNUSED_PERMIT_PAUSE: Milliseconds = 500;
 
 /** Options of {@link ColdWorkerRule}. */
 export interface ColdWorkerRuleOptions {
   readonly clock: Pick<Clock, 'now' | 'suspendedTime'>;
   readonly warmth: WorkerWarmth;
-  /** What workers of a service bear while cold; `undefined` where they are never cold. */
+  /** What cold workers of a service tolerate; `undefined` where its workers are never cold. */
   readonly coldStartOf: (service: ServiceName) => ColdStart | undefined;
-  /** Permits are wanted; {@link ColdWorkerRule.takeRequests} tells which. */
+  /** Called when permits are needed; {@link ColdWorkerRule.takeRequests} returns the requests. */
   readonly onPermitsNeeded: () => void;
   readonly metrics: FleetMetrics;
 }
 
-/** Permits in hand for one life of a worker. */
+/** Unused permits for one incarnation of a worker. */
 interface HeldPermits {
   left: number;
-  /** By {@link suspendAwareTime}, as others use permits while this machine is suspended. */
+  /**
+   * By {@link suspendAwareTime}: other gateways are granted permits while this machine is
+   * suspended.
+   */
   readonly expiresAt: Milliseconds;
 }
 
-/** Keeps cold workers from more than this node has permits for. */
 export class ColdWorkerRule implements SendRule {
   private readonly held = new Map<WorkerIncarnation, HeldPermits>();
-  private readonly wishedFor = new Map<WorkerIncarnation, WorkerRecord>();
-  /** Until when a life is not wished for. */
+  private readonly requested = new Map<WorkerIncarnation, WorkerRecord>();
+  /** Time until which no permits are requested for an incarnation. */
   private readonly pausedUntil = new Map<WorkerIncarnation, Milliseconds>();
   private highestTerm: Revision = 0;
 
@@ -55,41 +57,40 @@
 
   rejectionOf(worker: WorkerRecord): SendRejection | undefined {
     if (!this.needsPermit(worker)) return undefined;
-    if (this.inHand(workerIncarnationOf(worker)) !== undefined) return undefined;
-    this.wish(worker);
+    if (this.validPermits(workerIncarnationOf(worker)) !== undefined) return undefined;
+    this.requestPermit(worker);
     return 'worker-cold';
   }
 
   noteSent(worker: WorkerRecord): void {
     if (!this.needsPermit(worker)) return;
-    const permits = this.inHand(workerIncarnationOf(worker));
+    const permits = this.validPermits(workerIncarnationOf(worker));
     if (permits === undefined) return;
     permits.left -= 1;
     this.options.metrics.count('cold_permits', { state: 'used' });
   }
 
-  /** Whether there is something to ask the granter. */
   get hasRequests(): boolean {
-    return this.wishedFor.size > 0;
+    return this.requested.size > 0;
   }
 
-  /** What to ask the granter now; a wish is told once. */
+  /** Returns the first {@link MAX_REQUESTED_WORKERS} pending requests and clears all. */
   takeRequests(): PermitRequest[] {
     const { warmth, metrics } = this.options;
-    const wishes = [...this.wishedFor.values()].slice(0, MOST_WISHES).map((worker) => ({
+    const requests = [...this.requested.values()].slice(0, MAX_REQUESTED_WORKERS).map((worker) => ({
       worker: worker.id,
       life: workerIncarnationOf(worker),
-      permits: WANTED_PERMITS,
-      doubtAge: warmth.doubtAge(worker),
+      permits: PERMITS_PER_REQUEST,
+      doubtAge: warmth.unconfirmedAge(worker),
     }));
-    this.wishedFor.clear();
-    metrics.count('cold_permits', { state: 'asked' }, WANTED_PERMITS * wishes.length);
-    return wishes;
+    this.requested.clear();
+    metrics.count('cold_permits', { state: 'asked' }, PERMITS_PER_REQUEST * requests.length);
+    return requests;
   }
 
   /**
-   * Takes in the answer to a question that was sent at `sentAt` by {@link suspendAwareTime}; tells whether any
-   * worker may be sent something that it might not before. A granter that another has followed may not know it.
+   * Applies the answer to requests sent at `sentAt` by {@link suspendAwareTime}; returns whether
+   * any worker may be sent requests now. Answers of a granter that was replaced are ignored.
    */
   applyAnswer(
     { term, grants }: PermitAnswer,
@@ -98,40 +99,40 @@
   ): boolean {
     if (term === undefined || term < this.highestTerm) return false;
     this.highestTerm = term;
-    let isAnyFree = false;
+    let isAnyUnblocked = false;
     for (const grant of grants) {
       const worker = workerOf(grant.worker);
       if (worker === undefined || workerIncarnationOf(worker) !== grant.life) continue;
-      if (this.takeGrant(grant, worker, sentAt)) isAnyFree = true;
+      if (this.applyGrant(grant, worker, sentAt)) isAnyUnblocked = true;
     }
-    return isAnyFree;
+    return isAnyUnblocked;
   }
 
-  /** Forgets permits that are void and pauses that are over. */
+  /** Removes expired permits and pauses. */
   prune(): void {
     const now = this.options.clock.now();
-    for (const life of this.held.keys()) this.dropExpired(life);
+    for (const incarnation of this.held.keys()) this.dropExpired(incarnation);
     for (const [life, until] of this.pausedUntil) if (until <= now) this.pausedUntil.delete(life);
   }
 
-  private takeGrant(
-    { life, warmth: told, permits }: PermitGrant,
+  private applyGrant(
+    { life: incarnation, warmth: reportedWarmth, permits }: PermitGrant,
     worker: WorkerRecord,
     sentAt: Milliseconds,
   ): boolean {
     const { warmth, clock } = this.options;
-    warmth.noteShared(worker, told, sentAt - clock.suspendedTime());
-    if (permits > 0) this.keep(life, permits, sentAt + PERMIT_VALIDITY);
-    return told.kind === 'warm' || this.inHand(life) !== undefined;
+    warmth.notePeerReport(worker, reportedWarmth, sentAt - clock.suspendedTime());
+    if (permits > 0) this.store(incarnation, permits, sentAt + PERMIT_VALIDITY);
+    return reportedWarmth.kind === 'warm' || this.validPermits(incarnation) !== undefined;
   }
 
-  private keep(life: WorkerIncarnation, permits: number, expiresAt: Milliseconds): void {
+  private store(incarnation: WorkerIncarnation, permits: number, expiresAt: Milliseconds): void {
     this.options.metrics.count('cold_permits', { state: 'received' }, permits);
-    this.dropExpired(life);
-    const before = this.held.get(life)?.left ?? 0;
-    // Those of before end sooner: they would be used first, and are few.
-    if (before > 0) this.noteVoid(before);
-    this.held.set(life, { left: permits, expiresAt });
+    this.dropExpired(incarnation);
+    const replaced = this.held.get(incarnation)?.left ?? 0;
+    // Earlier permits expire sooner and are few: they are dropped rather than merged.
+    if (replaced > 0) this.countExpired(replaced);
+    this.held.set(incarnation, { left: permits, expiresAt });
   }
 
   private needsPermit(worker: WorkerRecord): boolean {
@@ -141,30 +142,30 @@
     return warmth.of(worker, coldStart).kind !== 'warm';
   }
 
-  private inHand(life: WorkerIncarnation): HeldPermits | undefined {
-    this.dropExpired(life);
-    const permits = this.held.get(life);
+  private validPermits(incarnation: WorkerIncarnation): HeldPermits | undefined {
+    this.dropExpired(incarnation);
+    const permits = this.held.get(incarnation);
     return permits === undefined || permits.left < 1 ? undefined : permits;
   }
 
-  private dropExpired(life: WorkerIncarnation): void {
-    const permits = this.held.get(life);
+  private dropExpired(incarnation: WorkerIncarnation): void {
+    const permits = this.held.get(incarnation);
     if (permits === undefined || suspendAwareTime(this.options.clock) < permits.expiresAt) return;
-    this.held.delete(life);
+    this.held.delete(incarnation);
     if (permits.left === 0) return;
-    this.noteVoid(permits.left);
-    this.pausedUntil.set(life, this.options.clock.now() + UNUSED_PAUSE);
+    this.countExpired(permits.left);
+    this.pausedUntil.set(incarnation, this.options.clock.now() + UNUSED_PERMIT_PAUSE);
   }
 
-  private noteVoid(permits: number): void {
+  private countExpired(permits: number): void {
     this.options.metrics.count('cold_permits', { state: 'void' }, permits);
   }
 
-  private wish(worker: WorkerRecord): void {
-    const life = workerIncarnationOf(worker);
-    if (this.options.clock.now() < (this.pausedUntil.get(life) ?? 0)) return;
-    this.pausedUntil.delete(life);
-    this.wishedFor.set(life, worker);
+  private requestPermit(worker: WorkerRecord): void {
+    const incarnation = workerIncarnationOf(worker);
+    if (this.options.clock.now() < (this.pausedUntil.get(incarnation) ?? 0)) return;
+    this.pausedUntil.delete(incarnation);
+    this.requested.set(incarnation, worker);
     this.options.onPermitsNeeded();
   }
 }
--- a/src/placement/distance-costs.ts
+++ b/src/placement/distance-costs.ts
@@ -1,20 +1,19 @@
 /**
- * What it costs to have work done at a distance, in the measure by which workers are compared. All
- * choices of workers ask here, so that work stays near for the same reasons everywhere and goes
- * further only as far as its caller gains.
+ * Distance costs for the ranking of workers. Every placement uses them, so that work stays in its
+ * zone or region unless a remote worker is enough better to outweigh the distance.
  */
 import type { ZoneName } from '../core/identity.js';
 import type { ZoneDistance, ZoneTopology } from './zone-topology.js';
 
-/** Cost of a worker of a zone, beside what speaks against the worker itself. */
+/** Cost of a zone, added to the score of each of its workers. */
 export type DistanceCost = (zone: ZoneName) => number;
 
 type CostByDistance = Readonly<Record<ZoneDistance, number>>;
 
 /**
- * For a direct request, in shares of a worker's places that are taken. A worker of another zone is
- * chosen if that much more of it is free. One of another region is chosen only once the workers of
- * the region have no place left: a short answer takes as long as the way there and back.
+ * For direct requests, in shares of a worker's slots. A worker in another zone is chosen if that
+ * much more of it is free. A worker in another region is chosen only once the region has no free
+ * slot: for a short answer the round trip takes as long as the work.
  */
 const REQUEST_COSTS: CostByDistance = {
   'same-zone': 0,
@@ -23,34 +22,34 @@
 };
 
 /**
- * For an item, against the score of its placement, where each zone serves its own callers: it goes to
- * another zone when the near workers have half of their places more taken than the far one, or are
- * slower by a third. Its text crosses between the zones, and its run breaks where they are cut off
- * from each other.
+ * For batch items where zones are autonomous, in units of the placement score: an item goes to
+ * another zone when local workers have half of their slots more in use than the remote one, or are
+ * slower by a third. Its text crosses between the zones, and a partition between them breaks its
+ * run.
  */
 const ZONE_ITEM_COST = 0.3;
 
 /**
- * The same for another region: somewhat less than a full worker costs against an empty one. An item
- * goes over the link when no near worker has a place left, by this node's count or by the load that it
- * told, or when the near ones are slower by half or more; a long one, which gains more, sooner.
+ * For batch items and workers of another region: slightly less than the score between a full and an
+ * empty worker. An item crosses regions when no worker nearby has a free slot, by this node's count
+ * or by the reported load, or when those nearby are slower by half or more; long items, which gain
+ * more, cross sooner.
  */
 const REGION_ITEM_COST = 0.55;
 
-/** Cost of the way of a direct request. */
 export function requestDistanceCost(distance: ZoneDistance): number {
   return REQUEST_COSTS[distance];
 }
 
-/** Cost of the way of an item; `undefined` where all workers are as near. */
+/** Distance cost of batch items; `undefined` where all workers are equally near. */
 export function itemDistanceCost(
   topology: ZoneTopology,
-  zonesServeAlone: boolean,
+  areZonesAutonomous: boolean,
 ): DistanceCost | undefined {
-  if (!zonesServeAlone && !topology.spansRegions) return undefined;
+  if (!areZonesAutonomous && !topology.spansRegions) return undefined;
   const costs: CostByDistance = {
     'same-zone': 0,
-    'same-region': zonesServeAlone ? ZONE_ITEM_COST : 0,
+    'same-region': areZonesAutonomous ? ZONE_ITEM_COST : 0,
     'other-region': REGION_ITEM_COST,
   };
   return (zone) => costs[topology.distanceTo(zone)];
--- a/src/placement/guarded-engine.ts
+++ b/src/placement/guarded-engine.ts
@@ -1,4 +1,4 @@
-/** Asks the rules of what may be sent before each request to a worker, whoever sends it. */
+/** Applies the send rules to every request to a worker, whichever component sends it. */
 import type { EngineOutcome, EnginePort, EngineRequest } from '../serving/engine-port.js';
 import type { DecisionLog } from '../telemetry/decision-log.js';
 import type { FleetMetrics } from '../telemetry/fleet-metrics.js';
@@ -12,7 +12,7 @@
   readonly metrics: FleetMetrics;
 }
 
-/** Workers behind the rules; orders, reports and health checks carry no caller's work and pass. */
+/** Wraps an engine port; orders, reports and probes carry no caller's work and are not checked. */
 export class GuardedEngine implements EnginePort {
   readonly order: EnginePort['order'];
   readonly report: EnginePort['report'];
@@ -31,19 +31,19 @@
 
   async send(request: EngineRequest, signal: AbortSignal): Promise<EngineOutcome> {
     const { engine, rules } = this.options;
-    const obstacle = rules.admit(request.worker, request.allowedRegions);
-    if (obstacle === undefined) return engine.send(request, signal);
-    this.noteWithheld(request, obstacle);
+    const rejection = rules.admit(request.worker, request.allowedRegions);
+    if (rejection === undefined) return engine.send(request, signal);
+    this.noteWithheld(request, rejection);
     return { kind: 'not-run', reason: 'withheld', load: undefined };
   }
 
-  private noteWithheld({ requestId, worker }: EngineRequest, obstacle: SendRejection): void {
-    this.options.metrics.count('sends_withheld', { obstacle });
+  private noteWithheld({ requestId, worker }: EngineRequest, rejection: SendRejection): void {
+    this.options.metrics.count('sends_withheld', { obstacle: rejection });
     this.options.log.decision('send-withheld', {
       request: requestId,
       worker: worker.id,
       workerZone: worker.zone,
-      obstacle,
+      obstacle: rejection,
     });
   }
 }
--- a/src/placement/job-residency.ts
+++ b/src/placement/job-residency.ts
@@ -1,8 +1,8 @@
 /**
- * Which nodes may hold a batch job: its items' bodies and what is made of them. The routes of its
- * requests and its tenant decide, by the configuration in force, so that a changed configuration
- * holds for each further step of a job. A node that must not hold a job still learns by its head
- * alone where it may lie.
+ * Decides which nodes may store a batch job: the bodies of its items and their results. The allowed
+ * regions follow from the routes of its requests and from its tenant, by the active configuration,
+ * so a changed configuration applies to the job's next step. The job's head alone is enough to
+ * decide.
  */
 import type { NodeId, RegionName, ZoneName } from '../core/identity.js';
 import type { RouteMatcher } from '../serving/route-matcher.js';
@@ -11,22 +11,22 @@
 import { type AllowedRegions, allowedByBoth, allowsRegion } from './allowed-regions.js';
 import { topologyWithoutRegions, type ZoneTopology } from './zone-topology.js';
 
-/** What the route of a request is found by. */
+/** Host and path, by which a route is matched. */
 export interface RoutedRequest {
   readonly host: string;
   readonly path: string;
 }
 
-/** What the regions of a job are found by. */
+/** Fields of a job's head that determine its allowed regions. */
 export interface JobOrigin {
   readonly tenant?: TenantName | undefined;
-  /** A request for each route that it takes; `undefined` where that was not noted. */
+  /** One request for each of the job's routes; `undefined` where the head has none. */
   readonly requests?: readonly RoutedRequest[] | undefined;
-  /** The zone in which it was taken in; `undefined` where that was not noted. */
+  /** The zone that accepted the job; `undefined` where the head has none. */
   readonly zone?: ZoneName | undefined;
 }
 
-/** The requests of a job, as it was submitted. */
+/** The requests of a submitted job. */
 export interface SubmittedRequests extends RoutedRequest {
   readonly tenant?: TenantName | undefined;
   readonly items: readonly {
@@ -35,60 +35,58 @@
   }[];
 }
 
-/** Whether a node may hold a job. */
 export type MayHold = (node: NodeId) => boolean;
 
 /** Options of {@link JobResidency}. */
 export interface JobResidencyOptions {
   readonly topology: ZoneTopology;
-  /** The name of this node. */
   readonly self: NodeId;
   readonly zoneOf: (node: NodeId) => ZoneName | undefined;
   readonly routes: () => RouteMatcher | undefined;
 }
 
-/** Keeps jobs in their regions. */
+/** Applies the region limits of routes and tenants to jobs. */
 export class JobResidency {
   constructor(private readonly options: JobResidencyOptions) {}
 
-  /** Whether the configuration in force limits any work to regions. */
+  /** Whether the active configuration limits any work to regions. */
   get limitsRegions(): boolean {
     return this.options.routes()?.limitsRegions ?? false;
   }
 
-  /** Where a job may lie, as it was submitted. */
+  /** Regions that may store a job, from its whole specification. */
   regionsForSpec(spec: SubmittedRequests): AllowedRegions {
     return this.limitsRegions ? this.regionsForOrigin(this.originOf(spec)) : undefined;
   }
 
   /**
-   * Where a job may lie by what was noted of it. What no route speaks for any more, or was never
-   * noted, stays in the region that it was taken in.
+   * Regions that may store a job, from its head. Requests that no route matches any more, or a head
+   * without requests, limit the job to the region that accepted it.
    */
   regionsForOrigin({ tenant, requests, zone }: JobOrigin): AllowedRegions {
     const routes = this.options.routes();
     if (routes === undefined || !routes.limitsRegions) return undefined;
-    const regionTakenIn = this.regionAlone(zone);
+    const acceptanceRegion = this.onlyRegionOf(zone);
     const owner = tenant === undefined ? undefined : routes.tenants.named(tenant);
     const byRoutes = (requests ?? [undefined]).map((request) => {
       const route = request && routes.match(request.host, request.path);
-      return route === undefined ? regionTakenIn : route.allowedRegions;
+      return route === undefined ? acceptanceRegion : route.allowedRegions;
     });
     return byRoutes.reduce(allowedByBoth, owner?.allowedRegions);
   }
 
-  /** What is to be noted of a job that is taken in here. */
+  /** Origin of a job that this node accepts. */
   originOf(spec: SubmittedRequests): JobOrigin {
     const { tenant } = spec;
     return { tenant, requests: this.requestsByRoute(spec), zone: this.options.topology.zone };
   }
 
-  /** What a job's head notes, beside its tenant and zone; only fleets that span regions need it. */
+  /** Fields for a job's head beside tenant and zone; empty unless the fleet spans regions. */
   headFieldsFor(spec: SubmittedRequests): { readonly requests?: RoutedRequest[] } {
     return this.options.topology.spansRegions ? { requests: this.requestsByRoute(spec) } : {};
   }
 
-  /** Whether a node may hold what is allowed in these regions. */
+  /** Whether a node may store work allowed in these regions. */
   mayHold(node: NodeId, allowed: AllowedRegions): boolean {
     if (allowed === undefined) return true;
     const { self, topology, zoneOf } = this.options;
@@ -96,54 +94,54 @@
     return this.mayHoldIn(zone, allowed);
   }
 
-  /** The same for this node. */
+  /** {@link mayHold} for this node. */
   mayHoldHere(allowed: AllowedRegions): boolean {
     return this.mayHold(this.options.self, allowed);
   }
 
-  /** The same for any node of a zone; one whose zone is not told may hold only what is not limited. */
+  /** {@link mayHold} for any node of a zone; an unknown zone may store only unlimited work. */
   mayHoldIn(zone: ZoneName | undefined, allowed: AllowedRegions): boolean {
     const region = zone === undefined ? undefined : this.options.topology.regionOf(zone);
     return allowsRegion(allowed, region);
   }
 
-  /** Whether two zones lie in one region. */
+  /** Whether two zones are in one region; an unknown zone matches only another unknown one. */
   areInOneRegion(left: ZoneName | undefined, right: ZoneName | undefined): boolean {
     const { topology } = this.options;
     if (left === undefined || right === undefined) return left === right;
     return topology.regionOf(left) === topology.regionOf(right);
   }
 
-  /** Which nodes may hold what is allowed in these regions. */
+  /** Predicate over nodes for {@link mayHold}. */
   holderFilter(allowed: AllowedRegions): MayHold {
     return (node) => this.mayHold(node, allowed);
   }
 
-  /** One request for each route: a job has many items and few routes. */
+  /** One request for each distinct route: a job has many items and few routes. */
   private requestsByRoute({ host, path, items }: SubmittedRequests): RoutedRequest[] {
     const routes = this.options.routes();
     const byRoute = new Map<Route | undefined, RoutedRequest>();
-    const note = (request: RoutedRequest): void => {
+    const add = (request: RoutedRequest): void => {
       const route = routes?.match(request.host, request.path);
       if (!byRoute.has(route)) byRoute.set(route, { host: request.host, path: request.path });
     };
-    note({ host, path });
+    add({ host, path });
     for (const item of items) {
-      note({ host, path: item.path });
-      if (item.scoreRequest !== undefined) note(item.scoreRequest);
+      add({ host, path: item.path });
+      if (item.scoreRequest !== undefined) add(item.scoreRequest);
     }
     return [...byRoute.values()];
   }
 
-  /** The region of a zone as the only one that is allowed; any where the zone or its region is not known. */
-  private regionAlone(zone: ZoneName | undefined): AllowedRegions {
+  /** Allows only the region of a zone; any region where the zone or its region is unknown. */
+  private onlyRegionOf(zone: ZoneName | undefined): AllowedRegions {
     const region: RegionName | undefined =
       zone === undefined ? undefined : this.options.topology.regionOf(zone);
     return region === undefined ? undefined : [region];
   }
 }
 
-/** Jobs may lie anywhere. */
+/** Any node may store any job. */
 export const UNRESTRICTED_RESIDENCY = new JobResidency({
   topology: topologyWithoutRegions(''),
   self: '',
--- a/src/placement/permit-bucket.ts
+++ b/src/placement/permit-bucket.ts
@@ -1,68 +1,71 @@
-/** How many permits may be granted for one cold worker, so that its bound holds in every sliding second. */
+/** Limits the permits for one cold worker, so that its hard bound holds in every sliding second. */
 import { type Milliseconds, SECOND } from '../core/units.js';
 import type { ColdStart } from '../serving/traffic-configuration.js';
 import { PERMIT_VALIDITY } from './cold-permits.js';
 import type { ColdTolerance } from './cold-tolerance.js';
 
-/** A suspension up to this long is not noticed by the gateway that was granted a permit. */
-const UNNOTICED_SUSPENSION: Milliseconds = 100;
+/** A gateway does not detect suspensions shorter than this. */
+const MAX_UNDETECTED_SUSPENSION: Milliseconds = 100;
 
-/** A request may wait this long for its connection to come up after its permit was used. */
-const LONGEST_CONNECT: Milliseconds = 700;
+/** Time to connect to the worker after the permit was used. */
+const MAX_CONNECT_TIME: Milliseconds = 700;
 
 /**
- * Time from the grant of a permit until its request has gone, at the longest. Requests that go within
- * one second have permits that were granted within a second and this time.
+ * Longest time from the grant of a permit until its request is sent. Requests sent within one
+ * second have permits granted within a window of one second plus this time.
  */
-export const GRANT_SPREAD: Milliseconds = PERMIT_VALIDITY + UNNOTICED_SUSPENSION + LONGEST_CONNECT;
+export const MAX_GRANT_TO_SEND_DELAY: Milliseconds =
+  PERMIT_VALIDITY + MAX_UNDETECTED_SUSPENSION + MAX_CONNECT_TIME;
 
-/** Permits that may be saved up; a few, as a cold worker falls over under many requests at once. */
-const MOST_SAVED = 2;
+/**
+ * Burst size of the bucket; small, since a cold worker crashes under many simultaneous requests.
+ */
+const MAX_SAVED_PERMITS = 2;
 
-/** Share of the bound that may be saved up, where the bound is low. */
+/** Burst size as a share of the bound, where the bound is low. */
 const SAVED_SHARE = 0.25;
 
-/** The pace of permits for one worker. */
-export interface PermitPace {
+/** Token bucket parameters for one worker. */
+export interface PermitLimits {
   /** Permits a second. */
   readonly rate: number;
-  /** Permits that may be saved up. */
+  /** Burst size in permits. */
   readonly saved: number;
 }
 
 /**
- * The pace that aims at what a cold worker bears. In any time the bucket grants what was saved and what the
- * rate gave meanwhile; over a second and the spread of the grants that stays within the hard bound.
+ * Bucket parameters that approach the rate a cold worker tolerates. In any window the bucket grants
+ * at most the burst plus rate times window; over one second plus {@link MAX_GRANT_TO_SEND_DELAY}
+ * that stays within the hard bound.
  */
-export function permitPace(coldStart: ColdStart, tolerance: ColdTolerance): PermitPace {
-  const borne = coldStart.requestsPerSecond;
-  const bound = Math.floor(borne * tolerance.factor + tolerance.requests);
-  const saved = Math.max(1, Math.min(MOST_SAVED, bound * SAVED_SHARE));
-  const window = (SECOND + GRANT_SPREAD) / SECOND;
-  return { rate: Math.max(0, Math.min(borne, (bound - saved) / window)), saved };
+export function permitLimits(coldStart: ColdStart, tolerance: ColdTolerance): PermitLimits {
+  const tolerated = coldStart.requestsPerSecond;
+  const bound = Math.floor(tolerated * tolerance.factor + tolerance.requests);
+  const saved = Math.max(1, Math.min(MAX_SAVED_PERMITS, bound * SAVED_SHARE));
+  const window = (SECOND + MAX_GRANT_TO_SEND_DELAY) / SECOND;
+  return { rate: Math.max(0, Math.min(tolerated, (bound - saved) / window)), saved };
 }
 
-/** A token bucket of permits for one life of a worker. */
+/** Token bucket of permits for one incarnation of a worker. */
 export class PermitBucket {
   private level: number | undefined;
-  private filledAt: Milliseconds = 0;
-  /** When permits were last taken. */
+  private refilledAt: Milliseconds = 0;
   lastTakenAt: Milliseconds = Number.NEGATIVE_INFINITY;
 
-  /** Takes up to as many permits as are wanted. */
-  take(wanted: number, pace: PermitPace, now: Milliseconds): number {
-    this.fill(pace, now);
-    // Where the pace is nothing, the permits that a full bucket holds are beyond the bound.
-    const there = pace.rate === 0 ? 0 : Math.floor(this.level ?? 0);
-    const granted = Math.max(0, Math.min(Math.floor(wanted), there));
+  /** Takes up to `requested` permits and returns how many. */
+  take(requested: number, limits: PermitLimits, now: Milliseconds): number {
+    this.refill(limits, now);
+    // With a rate of 0 even the burst of a full bucket would exceed the bound.
+    const available = limits.rate === 0 ? 0 : Math.floor(this.level ?? 0);
+    const granted = Math.max(0, Math.min(Math.floor(requested), available));
     this.level = (this.level ?? 0) - granted;
     this.lastTakenAt = now;
     return granted;
   }
 
-  private fill({ rate, saved }: PermitPace, now: Milliseconds): void {
-    const gained = ((now - this.filledAt) * rate) / SECOND;
+  private refill({ rate, saved }: PermitLimits, now: Milliseconds): void {
+    const gained = ((now - this.refilledAt) * rate) / SECOND;
     this.level = this.level === undefined ? saved : Math.min(saved, this.level + gained);
-    this.filledAt = now;
+    this.refilledAt = now;
   }
 }
--- a/src/placement/permit-granter.ts
+++ b/src/placement/permit-granter.ts
@@ -1,6 +1,6 @@
 /**
- * Grants permits for cold workers, at one node of the fleet. Its right to do so is the coordinator's fencing token.
- * One that has just got it waits until no permit of the granter before it can still let a request go.
+ * Grants permits for cold workers on the node that holds the coordinator's fencing token. A new
+ * granter waits until every permit of its predecessor has been used or has expired.
  */
 import { MINUTE, type Milliseconds, type Revision, SECOND } from '../core/units.js';
 import type { Clock } from '../serving/clock.js';
@@ -13,10 +13,10 @@
   type PermitRequest,
 } from './cold-permits.js';
 import type { ColdTolerance } from './cold-tolerance.js';
-import { GRANT_SPREAD, PermitBucket, permitPace } from './permit-bucket.js';
+import { MAX_GRANT_TO_SEND_DELAY, PermitBucket, permitLimits } from './permit-bucket.js';
 import type { WorkerWarmth } from './worker-warmth.js';
 
-/** Age of the last grant beyond which all its permits are long used or void, and the bucket is full. */
+/** Idle time after which a bucket is removed: its permits have expired and it is full again. */
 const BUCKET_LIFETIME: Milliseconds = MINUTE;
 
 /** Options of {@link PermitGranter}. */
@@ -24,29 +24,28 @@
   readonly clock: Pick<Clock, 'now'>;
   readonly warmth: WorkerWarmth;
   readonly tolerance: ColdTolerance;
-  /** The fencing token while this node coordinates. */
+  /** The fencing token while this node is the coordinator. */
   readonly fencingToken: () => Revision | undefined;
-  /** Longest time after its loss for which a coordinator may take its token for valid. */
+  /** Longest time for which a coordinator may still treat a lost token as valid. */
   readonly tokenValidity: Milliseconds;
   readonly workerOf: (id: string) => WorkerRecord | undefined;
-  /** What workers of a service bear while cold; `undefined` where they are never cold. */
+  /** What cold workers of a service tolerate; `undefined` where its workers are never cold. */
   readonly coldStartOf: (service: ServiceName) => ColdStart | undefined;
-  /** Has a doubtful worker that somebody would send work to asked whether it is cold. */
+  /** Requests a probe of an unconfirmed worker for which permits were requested. */
   readonly probe: (worker: WorkerRecord) => void;
 }
 
-/** Whether this node grants permits: not at all, not yet, or now. */
+/** `none`: not the coordinator; `waiting`: for permits of the predecessor; `open`: grants. */
 export type GranterState = 'none' | 'waiting' | 'open';
 
-/** Decides how many requests each gateway may send to a cold worker. */
 export class PermitGranter {
   private token: Revision | undefined;
-  private opensAt: Milliseconds = Number.POSITIVE_INFINITY;
+  private grantsFrom: Milliseconds = Number.POSITIVE_INFINITY;
   private readonly buckets = new Map<WorkerIncarnation, PermitBucket>();
 
   constructor(private readonly options: PermitGranterOptions) {}
 
-  /** Follows the right to grant; called regularly, so that the wait begins with it. */
+  /** Reads the fencing token; called periodically, so that the wait starts with its acquisition. */
   observe(): GranterState {
     const { clock, fencingToken, tokenValidity } = this.options;
     const token = fencingToken();
@@ -54,49 +53,51 @@
     const now = clock.now();
     if (token !== this.token) {
       this.token = token;
-      this.opensAt = now + tokenValidity + GRANT_SPREAD + SECOND;
+      this.grantsFrom = now + tokenValidity + MAX_GRANT_TO_SEND_DELAY + SECOND;
       this.buckets.clear();
     }
-    return now < this.opensAt ? 'waiting' : 'open';
+    return now < this.grantsFrom ? 'waiting' : 'open';
   }
 
-  /** Answers a gateway's wishes; while it waits, it tells how warm workers are and grants nothing. */
-  answer(wishes: readonly PermitRequest[]): PermitAnswer {
+  /**
+   * Answers a gateway's requests; while waiting, the answer has the workers' warmth and no permits.
+   */
+  answer(requests: readonly PermitRequest[]): PermitAnswer {
     const state = this.observe();
     if (state === 'none') return NOT_GRANTER;
-    const grants = wishes.map((wish) => this.grant(wish, state === 'open'));
+    const grants = requests.map((request) => this.grant(request, state === 'open'));
     return { term: this.token, grants: grants.filter((grant) => grant !== undefined) };
   }
 
-  /** Forgets the permits for lives of workers that are over. */
+  /** Removes idle buckets, such as those of terminated incarnations. */
   prune(): void {
     const { clock } = this.options;
-    for (const [life, bucket] of this.buckets) {
-      if (clock.now() - bucket.lastTakenAt > BUCKET_LIFETIME) this.buckets.delete(life);
+    for (const [incarnation, bucket] of this.buckets) {
+      if (clock.now() - bucket.lastTakenAt > BUCKET_LIFETIME) this.buckets.delete(incarnation);
     }
   }
 
-  private grant(wish: PermitRequest, mayGrant: boolean): PermitGrant | undefined {
-    const { clock, warmth, tolerance, workerOf, coldStartOf, probe: look } = this.options;
-    const record = workerOf(wish.worker);
-    if (record === undefined || workerIncarnationOf(record) !== wish.life) return undefined;
+  private grant(request: PermitRequest, mayGrant: boolean): PermitGrant | undefined {
+    const { clock, warmth, tolerance, workerOf, coldStartOf, probe } = this.options;
+    const record = workerOf(request.worker);
+    if (record === undefined || workerIncarnationOf(record) !== request.life) return undefined;
     const coldStart = coldStartOf(record.service);
     if (coldStart === undefined) return undefined;
-    if (wish.doubtAge !== undefined) warmth.markUnconfirmed(record, wish.doubtAge);
+    if (request.doubtAge !== undefined) warmth.markUnconfirmed(record, request.doubtAge);
     const state = warmth.of(record, coldStart);
-    if (state.kind === 'doubtful' && wish.permits > 0) look(record);
-    const { worker, life } = wish;
-    const mayHave = mayGrant && state.kind !== 'warm';
-    const pace = permitPace(coldStart, tolerance);
-    const permits = mayHave ? this.bucketOf(life).take(wish.permits, pace, clock.now()) : 0;
+    if (state.kind === 'doubtful' && request.permits > 0) probe(record);
+    const { worker, life } = request;
+    const canGrant = mayGrant && state.kind !== 'warm';
+    const limits = permitLimits(coldStart, tolerance);
+    const permits = canGrant ? this.bucketOf(life).take(request.permits, limits, clock.now()) : 0;
     return { worker, life, warmth: state, permits };
   }
 
-  private bucketOf(life: WorkerIncarnation): PermitBucket {
-    const known = this.buckets.get(life);
+  private bucketOf(incarnation: WorkerIncarnation): PermitBucket {
+    const known = this.buckets.get(incarnation);
     if (known !== undefined) return known;
     const bucket = new PermitBucket();
-    this.buckets.set(life, bucket);
+    this.buckets.set(incarnation, bucket);
     return bucket;
   }
 }
--- a/src/placement/residency-rule.ts
+++ b/src/placement/residency-rule.ts
@@ -1,10 +1,9 @@
-/** Work goes to workers of the regions that its route and its tenant allow, and to no others. */
+/** Limits work to workers in the regions that its route and its tenant allow. */
 import type { WorkerRecord } from '../serving/traffic-configuration.js';
 import { type AllowedRegions, allowsRegion } from './allowed-regions.js';
 import type { SendRejection, SendRule } from './send-rules.js';
 import type { ZoneTopology } from './zone-topology.js';
 
-/** Keeps work in its regions. */
 export class ResidencyRule implements SendRule {
   constructor(private readonly topology: Pick<ZoneTopology, 'regionOf'>) {}
 
--- a/src/placement/send-rules.ts
+++ b/src/placement/send-rules.ts
@@ -1,12 +1,12 @@
 /**
- * Whether a worker may be sent a piece of work now. Each reason that may speak against it is a rule
- * of its own. What chooses workers asks first, so as to choose well; what sends asks again, right
- * before it sends, and so no path to a worker goes round a rule.
+ * Rules that decide whether a worker may be sent work now. Placement checks them to choose among
+ * workers; the engine port checks them again right before each send, so that no path bypasses a
+ * rule.
  */
 import type { WorkerRecord } from '../serving/traffic-configuration.js';
 import type { AllowedRegions } from './allowed-regions.js';
 
-/** What keeps a worker from being sent work. */
+/** Reason for which a worker is not sent work; logged and counted under this value. */
 export type SendRejection =
   | 'region-not-allowed'
   | 'zone-evacuated'
@@ -14,39 +14,37 @@
   | 'evacuations-unknown'
   | 'worker-cold';
 
-/** One reason for which workers are sent nothing. */
 export interface SendRule {
-  /** What keeps a worker from being sent work of these regions now; `undefined` where nothing does. */
+  /** The reason not to send the worker work of these regions now; `undefined` if there is none. */
   rejectionOf(worker: WorkerRecord, allowed: AllowedRegions): SendRejection | undefined;
   /**
-   * A request is about to go to the worker: uses up what the rule grants. Called in the same turn in
-   * which {@link rejectionOf} found nothing.
+   * Called right before a request is sent, in the same turn of the event loop in which
+   * {@link rejectionOf} returned `undefined`; uses up a permit, for example.
    */
   noteSent?(worker: WorkerRecord): void;
 }
 
-/** All rules that hold for what a node sends. */
+/** All send rules of a node. */
 export class SendRules {
   constructor(private readonly rules: readonly SendRule[] = []) {}
 
-  /** The first obstacle to sending work to a worker; `undefined` where there is none. */
+  /** The first rule's reason not to send work to the worker; `undefined` if there is none. */
   rejectionOf(worker: WorkerRecord, allowed: AllowedRegions): SendRejection | undefined {
     for (const rule of this.rules) {
-      const obstacle = rule.rejectionOf(worker, allowed);
-      if (obstacle !== undefined) return obstacle;
+      const rejection = rule.rejectionOf(worker, allowed);
+      if (rejection !== undefined) return rejection;
     }
     return undefined;
   }
 
-  /** Whether a worker may be sent work of these regions now. */
   mayReceive(worker: WorkerRecord, allowed: AllowedRegions): boolean {
     return this.rejectionOf(worker, allowed) === undefined;
   }
 
-  /** Lets one request go to a worker, or tells what keeps it from going. */
+  /** Admits one request to a worker, or returns the reason not to send it. */
   admit(worker: WorkerRecord, allowed: AllowedRegions): SendRejection | undefined {
-    const obstacle = this.rejectionOf(worker, allowed);
-    if (obstacle !== undefined) return obstacle;
+    const rejection = this.rejectionOf(worker, allowed);
+    if (rejection !== undefined) return rejection;
     for (const rule of this.rules) rule.noteSent?.(worker);
     return undefined;
   }
--- a/src/placement/stale-evacuation-rule.ts
+++ b/src/placement/stale-evacuation-rule.ts
@@ -1,9 +1,8 @@
 /**
- * How long a node may act on what it knows of evacuations. An evacuation comes by the shared store, so
- * nobody can have ordered one while the store is out for all: a node that other nodes answer, though
- * none of them hears from the store, goes on. One that hears from neither the store nor any other node
- * is cut off by itself: the others may act on an evacuation that it has missed. It sends nothing, and its
- * callers are served by the others.
+ * Stops a partitioned node from sending work on a stale list of evacuated zones. Evacuations are
+ * written to the shared store, so none can begin while the store is down for every node: a node
+ * that still reaches its peers goes on. A node that reaches neither the store nor a peer may have
+ * missed an evacuation and sends nothing; other nodes serve its callers.
  */
 import type { Milliseconds } from '../core/units.js';
 import type { DecisionLog } from '../telemetry/decision-log.js';
@@ -11,39 +10,41 @@
 
 /** Options of {@link StaleEvacuationRule}. */
 export interface StaleEvacuationRuleOptions {
-  /** Time without any contact after which nothing is sent; `undefined` where nobody asks for a bound. */
+  /** Maximum age of the last contact; `undefined` for no limit. */
   readonly limit: () => Milliseconds | undefined;
-  /** Time since the store told of evacuations, or another node that was asked answered. */
+  /**
+   * Time since the store last reported evacuations or a peer last answered; infinite before that.
+   */
   readonly contactAge: () => Milliseconds;
-  /** Whether there are other nodes that might know more. */
+  /** Whether other nodes exist that may know of further evacuations. */
   readonly hasPeers: () => boolean;
   readonly log: Pick<DecisionLog, 'state'>;
 }
 
-/** Keeps a node that is cut off by itself from sending work on old knowledge. */
+/** Rejects all sends while the list of evacuations is stale. */
 export class StaleEvacuationRule implements SendRule {
-  private isPastAge = false;
+  private isBlocking = false;
 
   constructor(private readonly options: StaleEvacuationRuleOptions) {}
 
-  /** Whether what is known is too old to send work on. */
+  /** Whether the list of evacuations is too old to send work. */
   get isStale(): boolean {
-    if (this.isPastAge) this.tick();
-    return this.isPastAge;
+    if (this.isBlocking) this.tick();
+    return this.isBlocking;
   }
 
-  /** Looks at the age of what is known; called at regular times and after a suspension. */
+  /** Checks the age of the last contact; called periodically and after a suspension. */
   tick(): void {
     const { limit, contactAge, hasPeers, log } = this.options;
-    const most = limit();
+    const maxAge = limit();
     const age = contactAge();
-    // Before the first contact a node has no configuration either, and serves nothing.
-    const isOld = most !== undefined && Number.isFinite(age) && age > most;
-    const isPastAge = isOld && hasPeers();
-    if (isPastAge === this.isPastAge) return;
-    this.isPastAge = isPastAge;
+    // Before the first contact the node has no configuration and serves nothing.
+    const isTooOld = maxAge !== undefined && Number.isFinite(age) && age > maxAge;
+    const isBlocking = isTooOld && hasPeers();
+    if (isBlocking === this.isBlocking) return;
+    this.isBlocking = isBlocking;
     const contactAgeMs = Math.round(age);
-    log.state(isPastAge ? 'evacuations-unknown' : 'evacuations-known', { contactAgeMs });
+    log.state(isBlocking ? 'evacuations-unknown' : 'evacuations-known', { contactAgeMs });
   }
 
   rejectionOf(): SendRejection | undefined {
--- a/src/placement/worker-warmth.ts
+++ b/src/placement/worker-warmth.ts
@@ -1,8 +1,8 @@
 /**
- * Which workers are cold, as far as one node knows. A worker is cold while its record or its health check
- * says so, and doubtful, which counts as cold, while the node has reason to think that it may be: its life is
- * new to the node, or its zone has just come back. A doubt ends when a later look finds the worker warm,
- * or when any cold time that may have begun is over.
+ * Tracks which workers are cold, as seen by one node. A worker is cold while its record or its
+ * health check reports so. It is unconfirmed (kind `doubtful`), which counts as cold, from the
+ * first record of an incarnation, or from the return of its zone, until a later probe or the end of
+ * the longest cold time.
  */
 import type { Milliseconds } from '../core/units.js';
 import type { Clock } from '../serving/clock.js';
@@ -13,138 +13,145 @@
   workerIncarnationOf,
 } from '../serving/worker-incarnation.js';
 
-/** How warm a worker is, and how much longer at most if it is not. */
+/**
+ * Whether a worker is warm; `doubtful` means unconfirmed, `remaining` the longest time until warm.
+ */
 export type Warmth =
   | { readonly kind: 'warm' }
   | { readonly kind: 'cold' | 'doubtful'; readonly remaining: Milliseconds };
 
-/** Added to what a worker tells: it is told in whole milliseconds, and the way takes some. */
+/** Added to the cold time that a worker reports, for rounding and network delay. */
 const COLD_MARGIN: Milliseconds = 100;
 
 const WARM: Warmth = { kind: 'warm' };
 
-/** What is known of one life of a worker; times are of the node's steady clock. */
-interface KnownLife {
+/** State of one incarnation of a worker; times are of the node's steady clock. */
+interface WorkerState {
   readonly fields: Pick<WorkerRecord, 'id' | 'startedAt'>;
-  readonly life: WorkerIncarnation;
-  /** The cold time that the last record told. */
+  readonly incarnation: WorkerIncarnation;
+  /** The cold time in the latest record. */
   recordedColdFor: Milliseconds | undefined;
   coldUntil: Milliseconds;
-  doubtedAt: Milliseconds;
-  /** Least time that the doubt lasts. */
-  doubtLasts: Milliseconds;
-  /** Whether something happened that made the node doubt; otherwise it only knows nothing. */
-  isDoubtNews: boolean;
-  /** The last look at which the worker told how warm it is. */
-  lookedAt: Milliseconds;
+  /** The latest event after which the worker may be cold. */
+  unconfirmedSince: Milliseconds;
+  /** The worker stays unconfirmed at least this long. */
+  minUnconfirmedTime: Milliseconds;
+  /** Whether an event made the worker unconfirmed; false where the node has no information yet. */
+  wasMarkedUnconfirmed: boolean;
+  /** Start of the latest probe that the worker answered. */
+  probedAt: Milliseconds;
 }
 
-/** Knows which workers are cold. */
 export class WorkerWarmth {
-  private readonly lives = new Map<string, KnownLife>();
-  /** Whether the workers were listed; a life that shows after that has just begun. */
+  private readonly workers = new Map<string, WorkerState>();
+  /**
+   * Whether the first list of workers was read; an incarnation that appears later has just started.
+   */
   private isListed = false;
 
   constructor(private readonly clock: Pick<Clock, 'now'>) {}
 
-  /** All workers that were there before this node have been told. */
+  /** Call once records of all workers that started before this node are applied. */
   noteListed(): void {
     this.isListed = true;
   }
 
-  /** Takes in a worker's record, new or changed. */
+  /** Applies a new or changed record. */
   noteRecord(record: WorkerRecord): void {
-    const known = this.lives.get(record.id);
-    if (known === undefined || isLaterIncarnation(record, known.fields)) {
-      this.lives.set(record.id, this.firstSeen(record));
+    const state = this.workers.get(record.id);
+    if (state === undefined || isLaterIncarnation(record, state.fields)) {
+      this.workers.set(record.id, this.initialState(record));
       return;
     }
-    if (known.life !== workerIncarnationOf(record) || known.recordedColdFor === record.coldFor)
+    if (
+      state.incarnation !== workerIncarnationOf(record) ||
+      state.recordedColdFor === record.coldFor
+    )
       return;
-    known.recordedColdFor = record.coldFor;
+    state.recordedColdFor = record.coldFor;
     const remaining = record.coldFor ?? 0;
-    if (remaining > 0) this.lengthen(known, remaining + COLD_MARGIN);
+    if (remaining > 0) this.extendColdTime(state, remaining + COLD_MARGIN);
   }
 
-  /** Something happened after which a worker may be cold. */
+  /** Marks a worker as possibly cold since an event `age` ago. */
   markUnconfirmed(record: WorkerRecord, age: Milliseconds = 0): void {
-    const known = this.known(record);
-    known.doubtedAt = Math.max(known.doubtedAt, this.clock.now() - age);
-    known.isDoubtNews = true;
+    const state = this.stateOf(record);
+    state.unconfirmedSince = Math.max(state.unconfirmedSince, this.clock.now() - age);
+    state.wasMarkedUnconfirmed = true;
   }
 
-  /** The worker told how long it stays cold, asked at `askedAt`; an earlier doubt is settled by that. */
-  noteReported(record: WorkerRecord, remaining: Milliseconds, askedAt: Milliseconds): void {
-    this.noteLook(record, remaining > 0 ? remaining + COLD_MARGIN : 0, askedAt);
+  /** Records the cold time that a worker reported to a probe sent at `probedAt`. */
+  noteReported(record: WorkerRecord, remaining: Milliseconds, probedAt: Milliseconds): void {
+    this.noteProbe(record, remaining > 0 ? remaining + COLD_MARGIN : 0, probedAt);
   }
 
   /**
-   * Another node, asked at `askedAt`, told what it knows. Its margin is in that: with one more in each
-   * answer, a node that answers itself would never take a worker for warm again.
+   * Records the answer of another node to a request sent at `requestedAt`. It already includes the
+   * margin: adding it again on each answer would keep a node that answers itself from ever seeing a
+   * worker as warm.
    */
-  noteShared(record: WorkerRecord, warmth: Warmth, askedAt: Milliseconds): void {
+  notePeerReport(record: WorkerRecord, warmth: Warmth, requestedAt: Milliseconds): void {
     if (warmth.kind === 'doubtful') return;
-    this.noteLook(record, warmth.kind === 'cold' ? warmth.remaining : 0, askedAt);
+    this.noteProbe(record, warmth.kind === 'cold' ? warmth.remaining : 0, requestedAt);
   }
 
-  private noteLook(record: WorkerRecord, remaining: Milliseconds, askedAt: Milliseconds): void {
-    const known = this.known(record);
-    known.lookedAt = Math.max(known.lookedAt, askedAt);
-    if (remaining > 0) this.lengthen(known, remaining);
+  private noteProbe(record: WorkerRecord, remaining: Milliseconds, probedAt: Milliseconds): void {
+    const state = this.stateOf(record);
+    state.probedAt = Math.max(state.probedAt, probedAt);
+    if (remaining > 0) this.extendColdTime(state, remaining);
   }
 
-  /** How warm a worker is. */
   of(record: WorkerRecord, coldStart: ColdStart): Warmth {
-    const known = this.known(record);
+    const state = this.stateOf(record);
     const now = this.clock.now();
-    if (now < known.coldUntil) return { kind: 'cold', remaining: known.coldUntil - now };
-    if (known.lookedAt > known.doubtedAt) return WARM;
-    const longest = Math.max(coldStart.duration, known.doubtLasts) + COLD_MARGIN;
-    const remaining = known.doubtedAt + longest - now;
+    if (now < state.coldUntil) return { kind: 'cold', remaining: state.coldUntil - now };
+    if (state.probedAt > state.unconfirmedSince) return WARM;
+    const maxDuration = Math.max(coldStart.duration, state.minUnconfirmedTime) + COLD_MARGIN;
+    const remaining = state.unconfirmedSince + maxDuration - now;
     return remaining > 0 ? { kind: 'doubtful', remaining } : WARM;
   }
 
-  /** Age of the event that made this node doubt; `undefined` where there was none. */
-  doubtAge(record: WorkerRecord): Milliseconds | undefined {
-    const known = this.known(record);
-    return known.isDoubtNews ? this.clock.now() - known.doubtedAt : undefined;
+  /** Age of the event that made the worker unconfirmed; `undefined` where there was none. */
+  unconfirmedAge(record: WorkerRecord): Milliseconds | undefined {
+    const state = this.stateOf(record);
+    return state.wasMarkedUnconfirmed ? this.clock.now() - state.unconfirmedSince : undefined;
   }
 
-  /** Forgets workers that are known no longer. */
+  /** Removes workers that are no longer known. */
   retain(isKnown: (worker: string) => boolean): void {
-    for (const worker of this.lives.keys()) if (!isKnown(worker)) this.lives.delete(worker);
+    for (const worker of this.workers.keys()) if (!isKnown(worker)) this.workers.delete(worker);
   }
 
-  private known(record: WorkerRecord): KnownLife {
-    const known = this.lives.get(record.id);
-    if (known !== undefined && !isLaterIncarnation(record, known.fields)) return known;
-    const first = this.firstSeen(record);
-    this.lives.set(record.id, first);
+  private stateOf(record: WorkerRecord): WorkerState {
+    const state = this.workers.get(record.id);
+    if (state !== undefined && !isLaterIncarnation(record, state.fields)) return state;
+    const first = this.initialState(record);
+    this.workers.set(record.id, first);
     return first;
   }
 
   /**
-   * What the record of a worker that was there before this node tells may be long past; of one that
-   * has just shown it is believed, and whether it is still cold later is looked at.
+   * The cold time in a record is trusted only where the incarnation has just started; the record of
+   * a worker older than this node may be out of date.
    */
-  private firstSeen(record: WorkerRecord): KnownLife {
+  private initialState(record: WorkerRecord): WorkerState {
     const now = this.clock.now();
     const { id, startedAt, coldFor: recordedColdFor } = record;
     const coldFor = recordedColdFor ?? 0;
     const isColdNow = this.isListed && coldFor > 0;
     return {
       fields: { id, startedAt },
-      life: workerIncarnationOf(record),
+      incarnation: workerIncarnationOf(record),
       recordedColdFor,
       coldUntil: isColdNow ? now + coldFor + COLD_MARGIN : Number.NEGATIVE_INFINITY,
-      doubtedAt: isColdNow ? Number.NEGATIVE_INFINITY : now,
-      doubtLasts: coldFor,
-      isDoubtNews: this.isListed,
-      lookedAt: isColdNow ? now : Number.NEGATIVE_INFINITY,
+      unconfirmedSince: isColdNow ? Number.NEGATIVE_INFINITY : now,
+      minUnconfirmedTime: coldFor,
+      wasMarkedUnconfirmed: this.isListed,
+      probedAt: isColdNow ? now : Number.NEGATIVE_INFINITY,
     };
   }
 
-  private lengthen(known: KnownLife, remaining: Milliseconds): void {
-    known.coldUntil = Math.max(known.coldUntil, this.clock.now() + remaining);
+  private extendColdTime(state: WorkerState, remaining: Milliseconds): void {
+    state.coldUntil = Math.max(state.coldUntil, this.clock.now() + remaining);
   }
 }
--- a/src/placement/zone-evacuations.ts
+++ b/src/placement/zone-evacuations.ts
@@ -1,30 +1,30 @@
-/** Zones whose workers the operator wants to be sent nothing for the time being. */
+/**
+ * Zones that the operator has evacuated: their workers are sent no work until the evacuation ends.
+ */
 import type { ZoneName } from '../core/identity.js';
 import type { WorkerRecord } from '../serving/traffic-configuration.js';
 import type { SendRejection, SendRule } from './send-rules.js';
 
-/** Knows which zones are evacuated. */
 export class ZoneEvacuations implements SendRule {
   private readonly zones = new Set<ZoneName>();
 
-  /** The operator evacuates a zone; tells whether that is new. */
+  /** Starts an evacuation; returns false if the zone is already evacuated. */
   begin(zone: ZoneName): boolean {
     if (this.zones.has(zone)) return false;
     this.zones.add(zone);
     return true;
   }
 
-  /** The operator takes an evacuation back; tells whether there was one. */
+  /** Ends an evacuation; returns false if there was none. */
   end(zone: ZoneName): boolean {
     return this.zones.delete(zone);
   }
 
-  /** Whether a zone's workers are sent nothing now. */
   isEvacuated(zone: ZoneName): boolean {
     return this.zones.has(zone);
   }
 
-  /** All evacuated zones. */
+  /** All evacuated zones, sorted. */
   evacuated(): ZoneName[] {
     return [...this.zones].sort();
   }
--- a/src/placement/zone-topology.ts
+++ b/src/placement/zone-topology.ts
@@ -1,18 +1,16 @@
-/** Where the zones of a deployment lie, seen from one node: its own zone, its region, and the rest. */
+/** Zones and regions of a deployment, and their distances from one node. */
 import type { RegionName, ZoneName } from '../core/identity.js';
 
-/** How far a zone is from this node. */
 export type ZoneDistance = 'same-zone' | 'same-region' | 'other-region';
 
-/** How far two zones are from each other. */
 export type DistanceBetween = (one: ZoneName, other: ZoneName) => ZoneDistance;
 
-/** The zones of a deployment and the regions that hold them, by the settings of one node. */
+/** Zones and their regions, from the settings of one node. */
 export class ZoneTopology {
   /** Whether the deployment spans several regions. */
   readonly spansRegions: boolean;
 
-  /** `regions` names the region of each zone. */
+  /** `regions` maps each zone to its region. */
   constructor(
     readonly zone: ZoneName,
     private readonly regions: ReadonlyMap<ZoneName, RegionName>,
@@ -25,27 +23,25 @@
     return this.regions.get(this.zone);
   }
 
-  /** The region of a zone; `undefined` where the settings do not know the zone. */
+  /** The region of a zone; `undefined` where the settings do not name the zone. */
   regionOf(zone: ZoneName): RegionName | undefined {
     return this.regions.get(zone);
   }
 
-  /** Whether any zone lies in a region. */
+  /** Whether any zone is in a region. */
   hasRegion(region: RegionName): boolean {
     return [...this.regions.values()].includes(region);
   }
 
-  /** Whether a zone lies in this node's region; in a deployment without regions every zone does. */
+  /** Whether a zone is in this node's region; without regions every zone is. */
   isInOwnRegion(zone: ZoneName): boolean {
     return this.areInOneRegion(this.zone, zone);
   }
 
-  /** How far a zone is from this node. */
   distanceTo(zone: ZoneName): ZoneDistance {
     return this.distanceBetween(this.zone, zone);
   }
 
-  /** How far two zones are from each other. */
   distanceBetween(one: ZoneName, other: ZoneName): ZoneDistance {
     if (one === other) return 'same-zone';
     return this.areInOneRegion(one, other) ? 'same-region' : 'other-region';
@@ -56,7 +52,7 @@
   }
 }
 
-/** The topology of a node whose settings name no regions. */
+/** Topology of a node whose settings name no regions. */
 export function topologyWithoutRegions(zone: ZoneName): ZoneTopology {
   return new ZoneTopology(zone, new Map());
 }
--- a/src/serving/attempt.ts
+++ b/src/serving/attempt.ts
@@ -5,10 +5,10 @@
 import type { KnownWorker } from './worker-registry.js';
 
 /** The lowest status by which a worker tells a failure of its own. */
-export const SERVER_ERROR = 500;
+export const SERVER_ERROR_STATUS = 500;
 
 /** One attempt that has come to an outcome. */
-export interface AttemptEnd {
+export interface AttemptResult {
   readonly worker: KnownWorker;
   readonly outcome: EngineOutcome;
   /** The body, where the answer came whole. */
@@ -16,9 +16,9 @@
 }
 
 /** A whole answer that is not a failure of the worker. */
-export function isUsable(end: AttemptEnd): boolean {
-  if (end.outcome.kind !== 'answered' || end.body === undefined) return false;
-  return end.outcome.status < SERVER_ERROR;
+export function isUsable(attempt: AttemptResult): boolean {
+  if (attempt.outcome.kind !== 'answered' || attempt.body === undefined) return false;
+  return attempt.outcome.status < SERVER_ERROR_STATUS;
 }
 
 /** Takes note of an attempt without an answer; one that was not sent says nothing of the worker. */
--- a/src/serving/crash-evidence.ts
+++ b/src/serving/crash-evidence.ts
@@ -25,10 +25,10 @@
  * Requests of which evidence is kept; beyond it the oldest is dropped. With one
  * worker each they take 323 bytes (heap of 20,000), all of them 6.5 MB of the 200 MB that a gateway may use.
  */
-const MOST_SUSPECTS = 20_000;
+const MAX_SUSPECTS = 20_000;
 
 /** The end of one life of a worker under one request. */
-export interface WorkerEnd {
+export interface WorkerCrash {
   readonly worker: WorkerIncarnation;
   /** Steady time. */
   readonly at: Milliseconds;
@@ -37,56 +37,56 @@
 /** Keeps the ends of workers by request. */
 export class CrashEvidence {
   /** By request, then by worker; the requests with the newest evidence last. */
-  private readonly ends = new Map<RequestFingerprint, Map<string, Milliseconds>>();
+  private readonly crashes = new Map<RequestFingerprint, Map<string, Milliseconds>>();
 
   constructor(private readonly clock: Pick<Clock, 'now'>) {}
 
   /** Whether nothing speaks against any request. */
   get isEmpty(): boolean {
-    return this.ends.size === 0;
+    return this.crashes.size === 0;
   }
 
   /** A worker ended while the request was there; told again, that changes nothing. */
-  note(request: RequestFingerprint, { worker, at }: WorkerEnd): void {
-    const ends = this.of(request) ?? new Map<string, Milliseconds>();
-    if (!ends.has(worker)) ends.set(worker, at);
-    this.ends.delete(request);
-    this.ends.set(request, ends);
+  note(request: RequestFingerprint, { worker, at }: WorkerCrash): void {
+    const crashes = this.of(request) ?? new Map<string, Milliseconds>();
+    if (!crashes.has(worker)) crashes.set(worker, at);
+    this.crashes.delete(request);
+    this.crashes.set(request, crashes);
     this.dropOldest();
   }
 
   /** A worker did not end, or does not speak against the request any more. */
   withdraw(request: RequestFingerprint, worker: string): void {
-    const ends = this.ends.get(request);
-    ends?.delete(worker);
-    if (ends?.size === 0) this.ends.delete(request);
+    const crashes = this.crashes.get(request);
+    crashes?.delete(worker);
+    if (crashes?.size === 0) this.crashes.delete(request);
   }
 
   /** Forgets all that speaks against a request. */
   clear(request: RequestFingerprint): void {
-    this.ends.delete(request);
+    this.crashes.delete(request);
   }
 
   /** The workers that ended under a request, in the order of their ends. */
-  endedUnder(request: RequestFingerprint): readonly WorkerEnd[] {
-    const ends = this.of(request);
-    return ends === undefined ? [] : [...ends].map(([worker, at]) => ({ worker, at }));
+  crashesUnder(request: RequestFingerprint): readonly WorkerCrash[] {
+    const crashes = this.of(request);
+    return crashes === undefined ? [] : [...crashes].map(([worker, at]) => ({ worker, at }));
   }
 
   private of(request: RequestFingerprint): Map<string, Milliseconds> | undefined {
-    const ends = this.ends.get(request);
-    if (ends === undefined) return undefined;
+    const crashes = this.crashes.get(request);
+    if (crashes === undefined) return undefined;
     const oldest = this.clock.now() - EVIDENCE_LIFETIME;
-    for (const [worker, at] of ends) if (at < oldest) ends.delete(worker);
-    if (ends.size > 0) return ends;
-    this.ends.delete(request);
+    for (const [worker, at] of crashes) if (at < oldest) crashes.delete(worker);
+    if (crashes.size > 0) return crashes;
+    this.crashes.delete(request);
     return undefined;
   }
 
   private dropOldest(): void {
-    for (const request of this.ends.keys()) {
-      if (this.ends.size <= MOST_SUSPECTS) return;
-      this.ends.delete(request);
+    for (const request of this.crashes.keys()) {
+      if (this.crashes.size <= MAX_SUSPECTS) return;
+      this.crashes.delete(request);
     }
   }
 }
--- a/src/serving/event-stream.ts
+++ b/src/serving/event-stream.ts
@@ -21,28 +21,32 @@
 
 /** Collects bytes and gives whole events. */
 export class EventStreamReader {
-  private rest: Buffer = Buffer.alloc(0);
+  private buffered: Buffer = Buffer.alloc(0);
 
   /** `versionField` names the line by which an event tells a change of weights, in lower case. */
   constructor(private readonly versionField: string) {}
 
   /** Takes further bytes; gives the events that are whole now. */
   push(chunk: Buffer): StreamEvent[] {
-    this.rest = this.rest.length === 0 ? chunk : Buffer.concat([this.rest, chunk]);
+    this.buffered = this.buffered.length === 0 ? chunk : Buffer.concat([this.buffered, chunk]);
     const events: StreamEvent[] = [];
     let start = 0;
-    for (let end = endOfEvent(this.rest, start); end > 0; end = endOfEvent(this.rest, start)) {
-      const event = this.parse(this.rest.subarray(start, end));
+    for (
+      let end = endOfEvent(this.buffered, start);
+      end > 0;
+      end = endOfEvent(this.buffered, start)
+    ) {
+      const event = this.parse(this.buffered.subarray(start, end));
       if (event !== undefined) events.push(event);
       start = end;
     }
-    this.rest = this.rest.subarray(start);
+    this.buffered = this.buffered.subarray(start);
     return events;
   }
 
   /** Whether bytes of an event that is not whole are left. */
   hasPartialEvent(): boolean {
-    return this.rest.length > 0;
+    return this.buffered.length > 0;
   }
 
   private parse(raw: Buffer): StreamEvent | undefined {
--- a/src/serving/exchange-report.ts
+++ b/src/serving/exchange-report.ts
@@ -15,7 +15,7 @@
 }
 
 /** How an answered request ended. */
-export type AnsweredEnd = 'request-answered' | 'stream-answered' | 'stream-broken-off';
+export type AnsweredOutcome = 'request-answered' | 'stream-answered' | 'stream-broken-off';
 
 /** What is told of one request. */
 export class ExchangeReport {
@@ -24,7 +24,7 @@
   /** The caller was told why it gets no worker's answer. */
   noteFailed(reason: Failure, attempts: number): void {
     const { request, route, service, log } = this.options;
-    this.meter(reason.kind);
+    this.recordMetrics(reason.kind);
     log.decision('request-refused', {
       request: request.requestId,
       route: route.name,
@@ -37,10 +37,15 @@
   }
 
   /** The caller got a worker's answer, or a part of it. */
-  noteAnswered(end: AnsweredEnd, worker: KnownWorker, status: number, attempts: number): void {
+  noteAnswered(
+    outcome: AnsweredOutcome,
+    worker: KnownWorker,
+    status: number,
+    attempts: number,
+  ): void {
     const { request, route, log } = this.options;
-    this.meter(end);
-    log.decision(end, {
+    this.recordMetrics(outcome);
+    log.decision(outcome, {
       request: request.requestId,
       route: route.name,
       worker: worker.record.id,
@@ -50,7 +55,7 @@
     });
   }
 
-  private meter(outcome: string): void {
+  private recordMetrics(outcome: string): void {
     const { route, metrics } = this.options;
     metrics.count('requests', { kind: route.kind, outcome });
     metrics.observe('request_seconds', { kind: route.kind }, this.elapsed());
--- a/src/serving/forwarded-exchange.ts
+++ b/src/serving/forwarded-exchange.ts
@@ -6,9 +6,9 @@
 import type { Milliseconds } from '../core/units.js';
 import { type Failure, failure } from '../errors/error-kinds.js';
 import type { AnswerSink, CallerRequest } from './answer-sink.js';
-import { type AttemptEnd, isUsable, noteFailure, readAnswerBody } from './attempt.js';
+import { type AttemptResult, isUsable, noteFailure, readAnswerBody } from './attempt.js';
 import type { EngineAnswer } from './engine-port.js';
-import { type AnsweredEnd, ExchangeReport } from './exchange-report.js';
+import { type AnsweredOutcome, ExchangeReport } from './exchange-report.js';
 import type { RequestForwarderOptions } from './forwarding-options.js';
 import { StreamRelay } from './stream-relay.js';
 import type { Route, ServiceName } from './traffic-configuration.js';
@@ -17,13 +17,13 @@
 
 /** A repeatable request goes to a second worker after this share of its wanted latency. */
 const HEDGE_SHARE = 0.6;
-const LEAST_HEDGE_DELAY: Milliseconds = 50;
+const MIN_HEDGE_DELAY: Milliseconds = 50;
 
 /** When to come back after a refusal. */
 const RETRY_AFTER: Milliseconds = 100;
 
 /** A stream that a worker has begun. */
-interface BegunStream {
+interface StartedStream {
   readonly worker: KnownWorker;
   readonly answer: EngineAnswer;
 }
@@ -33,7 +33,7 @@
   private readonly sender: WorkerSender;
   private readonly report: ExchangeReport;
   private readonly deadline: Milliseconds;
-  private readonly timeIsUp = new AbortController();
+  private readonly expiry = new AbortController();
   private isAnswered = false;
 
   constructor(
@@ -52,16 +52,16 @@
 
   async perform(): Promise<void> {
     const timer = setTimeout(() => this.expire(), Math.max(0, this.remaining()));
-    const leave = (): void => this.sender.cancelAll();
-    this.request.disconnectSignal.addEventListener('abort', leave);
+    const cancelAttempts = (): void => this.sender.cancelAll();
+    this.request.disconnectSignal.addEventListener('abort', cancelAttempts);
     try {
       const refusal = this.sender.refusal();
       if (refusal !== undefined) this.fail(refusal);
       else if (this.route.kind === 'read-only') await this.forwardRepeatable();
-      else await this.forwardOnce();
+      else await this.forwardNonRepeatable();
     } finally {
       clearTimeout(timer);
-      this.request.disconnectSignal.removeEventListener('abort', leave);
+      this.request.disconnectSignal.removeEventListener('abort', cancelAttempts);
       this.sender.cancelAll();
     }
   }
@@ -71,21 +71,21 @@
   }
 
   private expire(): void {
-    this.timeIsUp.abort();
+    this.expiry.abort();
     this.fail(failure('deadline_exceeded', 'no worker answered in time'));
     this.sender.cancelAll();
   }
 
-  private get isOver(): boolean {
-    return this.isAnswered || this.request.disconnectSignal.aborted || this.timeIsUp.signal.aborted;
+  private get isFinished(): boolean {
+    return this.isAnswered || this.request.disconnectSignal.aborted || this.expiry.signal.aborted;
   }
 
   /** Attempts side by side: the first whole answer wins, the others are cancelled. */
   private forwardRepeatable(): Promise<void> {
-    const hedgeDelay = Math.max(LEAST_HEDGE_DELAY, HEDGE_SHARE * this.route.targetLatency);
+    const hedgeDelay = Math.max(MIN_HEDGE_DELAY, HEDGE_SHARE * this.route.targetLatency);
     return new Promise((resolve) => {
       let pending = 0;
-      let lastEnd: AttemptEnd | undefined;
+      let lastResult: AttemptResult | undefined;
       let hedge: NodeJS.Timeout | undefined;
       const finish = (): void => {
         clearTimeout(hedge);
@@ -93,14 +93,14 @@
       };
       const startNext = (): void => {
         clearTimeout(hedge);
-        if (this.isOver) {
+        if (this.isFinished) {
           finish();
           return;
         }
         const worker = this.sender.pick();
         if (worker === undefined) {
           if (pending > 0) return;
-          this.giveUp(lastEnd);
+          this.giveUp(lastResult);
           finish();
           return;
         }
@@ -110,16 +110,16 @@
         hedge = setTimeout(startNext, hedgeDelay);
         void this.attemptWhole(worker, wantsNewConnection).then((end) => {
           pending -= 1;
-          if (this.isOver) return finish();
+          if (this.isFinished) return finish();
           if (isUsable(end)) {
             this.deliver(end);
             return finish();
           }
-          lastEnd = end;
+          lastResult = end;
           startNext();
         });
       };
-      this.timeIsUp.signal.addEventListener('abort', finish);
+      this.expiry.signal.addEventListener('abort', finish);
       this.request.disconnectSignal.addEventListener('abort', finish);
       startNext();
     });
@@ -128,19 +128,19 @@
   private async attemptWhole(
     worker: KnownWorker,
     wantsNewConnection: boolean,
-  ): Promise<AttemptEnd> {
+  ): Promise<AttemptResult> {
     const outcome = await this.sender.send(worker, { wantsNewConnection });
     const now = this.options.clock.now();
     if (outcome.kind !== 'answered') {
-      if (!this.isOver) noteFailure(worker, outcome, now);
+      if (!this.isFinished) noteFailure(worker, outcome, now);
       return { worker, outcome, body: undefined };
     }
     const body = await readAnswerBody(outcome);
     if (body === undefined) {
       this.sender.mayHaveRun = true;
-      if (!this.isOver) {
+      if (!this.isFinished) {
         worker.noteOutcome('failure', this.options.clock.now());
-        this.sender.noteBrokenOff(worker);
+        this.sender.noteConnectionBroken(worker);
       }
     } else {
       worker.noteOutcome('success', this.options.clock.now());
@@ -149,20 +149,20 @@
     return { worker, outcome, body };
   }
 
-  private deliver(end: AttemptEnd): void {
-    if (end.outcome.kind !== 'answered' || end.body === undefined) return;
+  private deliver(result: AttemptResult): void {
+    if (result.outcome.kind !== 'answered' || result.body === undefined) return;
     this.isAnswered = true;
-    this.sink.sendWhole(end.outcome.status, end.outcome.headers, end.body);
-    this.noteAnswered('request-answered', end.worker, end.outcome.status);
+    this.sink.sendWhole(result.outcome.status, result.outcome.headers, result.body);
+    this.noteAnswered('request-answered', result.worker, result.outcome.status);
   }
 
   /** One attempt at a time; the next only after a promise that the last one did not run. */
-  private async forwardOnce(): Promise<void> {
-    while (!this.isOver) {
+  private async forwardNonRepeatable(): Promise<void> {
+    while (!this.isFinished) {
       const worker = this.sender.pick();
       if (worker === undefined) return this.giveUp(undefined);
       const outcome = await this.sender.send(worker);
-      if (this.isOver) return;
+      if (this.isFinished) return;
       if (outcome.kind === 'answered') return this.relay(worker, outcome);
       noteFailure(worker, outcome, this.options.clock.now());
       if (outcome.kind === 'failed' && outcome.mayHaveRun && !this.route.resumable) {
@@ -177,7 +177,7 @@
     if (!answer.isStream) return this.relayWhole(worker, answer);
     const relay = new StreamRelay(this.sink, this.options.versionField, this.request.lastEventId);
     this.sink.begin(answer.status, answer.headers);
-    let current: BegunStream | undefined = { worker, answer };
+    let current: StartedStream | undefined = { worker, answer };
     while (current !== undefined) {
       const isComplete = await relay.follow(current.answer);
       if (isComplete) {
@@ -186,7 +186,7 @@
         return this.noteAnswered('stream-answered', worker, answer.status);
       }
       current.answer.discard();
-      if (!this.request.disconnectSignal.aborted) this.sender.noteBrokenOff(current.worker);
+      if (!this.request.disconnectSignal.aborted) this.sender.noteConnectionBroken(current.worker);
       current = await this.resumeStream(relay);
     }
     this.sink.abort();
@@ -195,11 +195,11 @@
 
   private async relayWhole(worker: KnownWorker, answer: EngineAnswer): Promise<void> {
     const body = await readAnswerBody(answer);
-    if (this.request.disconnectSignal.aborted || this.timeIsUp.signal.aborted) return;
+    if (this.request.disconnectSignal.aborted || this.expiry.signal.aborted) return;
     if (body === undefined) {
       this.isAnswered = false;
       this.sender.mayHaveRun = true;
-      this.sender.noteBrokenOff(worker);
+      this.sender.noteConnectionBroken(worker);
       return this.giveUp(undefined);
     }
     this.sender.noteAnswered(answer.status);
@@ -207,7 +207,7 @@
     this.noteAnswered('request-answered', worker, answer.status);
   }
 
-  private async resumeStream(relay: StreamRelay): Promise<BegunStream | undefined> {
+  private async resumeStream(relay: StreamRelay): Promise<StartedStream | undefined> {
     while (this.route.resumable && !this.request.disconnectSignal.aborted && this.remaining() > 0) {
       const worker = this.sender.pick();
       if (worker === undefined) return undefined;
@@ -221,7 +221,7 @@
   }
 
   /** Passes a worker's own failure on where there is one; else says what is known. */
-  private giveUp(last: AttemptEnd | undefined): void {
+  private giveUp(last: AttemptResult | undefined): void {
     if (last?.outcome.kind === 'answered' && last.body !== undefined) {
       this.deliver(last);
       return;
@@ -247,7 +247,7 @@
     this.report.noteFailed(reason, this.sender.attempts);
   }
 
-  private noteAnswered(end: AnsweredEnd, worker: KnownWorker, status: number): void {
-    this.report.noteAnswered(end, worker, status, this.sender.attempts);
+  private noteAnswered(outcome: AnsweredOutcome, worker: KnownWorker, status: number): void {
+    this.report.noteAnswered(outcome, worker, status, this.sender.attempts);
   }
 }
--- a/src/serving/latency-estimate.ts
+++ b/src/serving/latency-estimate.ts
@@ -31,8 +31,8 @@
   }
 
   /** Time after which an answer is late; never more than `most`. */
-  limit(most: Milliseconds): Milliseconds {
-    if (this.mean === undefined) return Math.min(this.initial, most);
-    return Math.min(this.mean + DEVIATIONS * this.deviation, most);
+  limit(maximum: Milliseconds): Milliseconds {
+    if (this.mean === undefined) return Math.min(this.initial, maximum);
+    return Math.min(this.mean + DEVIATIONS * this.deviation, maximum);
   }
 }
--- a/src/serving/read-chunks.ts
+++ b/src/serving/read-chunks.ts
@@ -13,14 +13,17 @@
   | 'broken';
 
 /** Hands each chunk on until the stream ends, breaks, or `take` returns false; never rejects. */
-export function readChunks(stream: Readable, take: (chunk: Buffer) => boolean): Promise<StreamEnd> {
+export function readChunks(
+  stream: Readable,
+  onChunk: (chunk: Buffer) => boolean,
+): Promise<StreamEnd> {
   return new Promise((resolve) => {
     const finish = (end: StreamEnd): void => {
       stream.off('data', onData);
       resolve(end);
     };
     const onData = (chunk: Buffer): void => {
-      if (!take(chunk)) finish('stopped');
+      if (!onChunk(chunk)) finish('stopped');
     };
     stream.on('data', onData);
     stream.once('end', () => finish('ended'));
--- a/src/serving/request-fingerprint.ts
+++ b/src/serving/request-fingerprint.ts
@@ -9,7 +9,7 @@
 export type RequestFingerprint = string;
 
 /** What a worker is asked, and for whom. */
-export interface AskedWork {
+export interface RequestContent {
   readonly method: string;
   readonly host: string;
   /** Path and query. */
@@ -26,8 +26,8 @@
 const SEPARATOR = '\u0000';
 
 /** The fingerprint of a request; costs a pass over its body. */
-export function requestFingerprint(work: AskedWork): RequestFingerprint {
-  const { method, host, path, tenant = '', body } = work;
+export function requestFingerprint(content: RequestContent): RequestFingerprint {
+  const { method, host, path, tenant = '', body } = content;
   const hash = createHash('sha256');
   hash.update([method, host, path, tenant, ''].join(SEPARATOR)).update(body);
   return hash.digest('hex').slice(0, FINGERPRINT_DIGITS);
@@ -35,13 +35,13 @@
 
 /** A request whose fingerprint is worked out when it is first needed, and once. */
 export class FingerprintedRequest {
-  private known: RequestFingerprint | undefined;
+  private cached: RequestFingerprint | undefined;
 
   /** `work` is called at most once. */
-  constructor(private readonly work: () => AskedWork) {}
+  constructor(private readonly content: () => RequestContent) {}
 
   get fingerprint(): RequestFingerprint {
-    this.known ??= requestFingerprint(this.work());
-    return this.known;
+    this.cached ??= requestFingerprint(this.content());
+    return this.cached;
   }
 }
--- a/src/serving/request-quarantine.ts
+++ b/src/serving/request-quarantine.ts
@@ -16,7 +16,7 @@
   CrashEvidence,
   EVIDENCE_LIFETIME,
   MAX_CRASHED_WORKERS,
-  type WorkerEnd,
+  type WorkerCrash,
 } from './crash-evidence.js';
 import type { WorkerLiveness } from './engine-port.js';
 import type { FingerprintedRequest, RequestFingerprint } from './request-fingerprint.js';
@@ -27,19 +27,19 @@
  * Time from the end of a worker until others are told what was there. Most of it is answered by
  * another worker meanwhile and need not be told: a lookup takes some 30 ms.
  */
-const SETTLE_TIME: Milliseconds = 60;
+const REPORT_DELAY: Milliseconds = 60;
 
 /** Time for which the end of a worker need not be looked into again. */
-const VERDICT_LIFETIME: Milliseconds = 1_000;
+const LIVENESS_CACHE_TIME: Milliseconds = 1_000;
 
 /**
  * Time after which a worker is asked whether it has ended under a request that was given up there: a
  * lookup takes some 30 ms, and one that ends its worker does so while it runs.
  */
-const GIVEN_UP_DELAY: Milliseconds = 200;
+const CANCELLED_PROBE_DELAY: Milliseconds = 200;
 
 /** Evidence from which on a request that only one node sends is told to the others. */
-const SUSPICIOUS_ENDS = 2;
+const SUSPICIOUS_CRASHES = 2;
 
 /** What was at a worker when a life of it ended. */
 export interface CrashReport {
@@ -66,14 +66,14 @@
 /** Decides whether a request may go to a worker. */
 export class RequestQuarantine {
   private readonly evidence: CrashEvidence;
-  private readonly verdicts = new Map<WorkerIncarnation, Promise<WorkerLiveness>>();
+  private readonly livenessProbes = new Map<WorkerIncarnation, Promise<WorkerLiveness>>();
   /** Lives whose end under a request the other nodes have not been told. */
   private readonly unreported = new Map<RequestFingerprint, Set<WorkerIncarnation>>();
   /** Requests whose quarantine stands in the log. */
-  private readonly announced = new Set<RequestFingerprint>();
+  private readonly loggedQuarantines = new Set<RequestFingerprint>();
   /** Requests that are looked at when the settling time is over. */
-  private readonly settling = new Map<RequestFingerprint, NextSender>();
-  private settleTimer: NodeJS.Timeout | undefined;
+  private readonly pendingReports = new Map<RequestFingerprint, NextSender>();
+  private reportTimer: NodeJS.Timeout | undefined;
 
   constructor(private readonly options: RequestQuarantineOptions) {
     this.evidence = new CrashEvidence(options.clock);
@@ -83,23 +83,25 @@
    * Whether a request may go to one more worker while it is at some others. With evidence against
    * it, those count as if they had ended: copies side by side end several workers at once.
    */
-  admits(asked: FingerprintedRequest, underWay = 0): boolean {
-    const ended = this.crashesUnder(asked).length;
-    return ended === 0 || ended + underWay < MAX_CRASHED_WORKERS;
+  admits(request: FingerprintedRequest, inFlight = 0): boolean {
+    const crashed = this.crashesUnder(request).length;
+    return crashed === 0 || crashed + inFlight < MAX_CRASHED_WORKERS;
   }
 
   /** Why a request is sent to no worker; `undefined` where it may be sent. */
-  refusalOf(asked: FingerprintedRequest): Failure | undefined {
-    const ends = this.crashesUnder(asked);
-    if (ends.length < MAX_CRASHED_WORKERS) return undefined;
-    const firstToLapse = ends[ends.length - MAX_CRASHED_WORKERS]?.at ?? 0;
-    const retryAfter = firstToLapse + EVIDENCE_LIFETIME - this.options.clock.now();
-    return failure('request_quarantined', `${ends.length} workers ended under it`, { retryAfter });
+  refusalOf(request: FingerprintedRequest): Failure | undefined {
+    const crashes = this.crashesUnder(request);
+    if (crashes.length < MAX_CRASHED_WORKERS) return undefined;
+    const oldestCounted = crashes[crashes.length - MAX_CRASHED_WORKERS]?.at ?? 0;
+    const retryAfter = oldestCounted + EVIDENCE_LIFETIME - this.options.clock.now();
+    return failure('request_quarantined', `${crashes.length} workers ended under it`, {
+      retryAfter,
+    });
   }
 
   /** The workers that ended under a request. */
-  crashesUnder(asked: FingerprintedRequest): readonly WorkerEnd[] {
-    return this.evidence.isEmpty ? [] : this.evidence.endedUnder(asked.fingerprint);
+  crashesUnder(request: FingerprintedRequest): readonly WorkerCrash[] {
+    return this.evidence.isEmpty ? [] : this.evidence.crashesUnder(request.fingerprint);
   }
 
   /**
@@ -108,24 +110,24 @@
    */
   async noteBroken(
     worker: WorkerRecord,
-    asked: FingerprintedRequest,
+    request: FingerprintedRequest,
     next: NextSender,
   ): Promise<void> {
-    const request = asked.fingerprint;
-    const life = workerIncarnationOf(worker);
-    this.evidence.note(request, { worker: life, at: this.options.clock.now() });
-    const standing = await this.verdictOn(worker);
-    if (standing === 'lives') {
-      this.evidence.withdraw(request, life);
+    const fingerprint = request.fingerprint;
+    const incarnation = workerIncarnationOf(worker);
+    this.evidence.note(fingerprint, { worker: incarnation, at: this.options.clock.now() });
+    const liveness = await this.livenessOf(worker);
+    if (liveness === 'lives') {
+      this.evidence.withdraw(fingerprint, incarnation);
       return;
     }
-    if (!this.evidence.endedUnder(request).some((end) => end.worker === life)) return;
-    this.announce(request);
-    const lives = this.unreported.get(request);
-    if (lives === undefined) this.unreported.set(request, new Set([life]));
-    else lives.add(life);
-    this.settling.set(request, next);
-    this.settleTimer ??= setTimeout(() => this.settle(), SETTLE_TIME);
+    if (!this.evidence.crashesUnder(fingerprint).some((end) => end.worker === incarnation)) return;
+    this.logQuarantine(fingerprint);
+    const incarnations = this.unreported.get(fingerprint);
+    if (incarnations === undefined) this.unreported.set(fingerprint, new Set([incarnation]));
+    else incarnations.add(incarnation);
+    this.pendingReports.set(fingerprint, next);
+    this.reportTimer ??= setTimeout(() => this.settle(), REPORT_DELAY);
   }
 
   /**
@@ -133,76 +135,86 @@
    * its caller left. Its connection is closed from here, so that nothing tells of that worker's end;
    * it is asked. Where nothing speaks against the request, nobody is asked.
    */
-  noteGivenUp(worker: WorkerRecord, asked: FingerprintedRequest): void {
-    if (this.crashesUnder(asked).length === 0) return;
-    setTimeout(() => void this.lookIntoGivenUp(worker, asked), GIVEN_UP_DELAY);
+  noteCancelled(worker: WorkerRecord, request: FingerprintedRequest): void {
+    if (this.crashesUnder(request).length === 0) return;
+    setTimeout(() => void this.probeAfterCancel(worker, request), CANCELLED_PROBE_DELAY);
   }
 
-  private async lookIntoGivenUp(worker: WorkerRecord, asked: FingerprintedRequest): Promise<void> {
-    const standing = await this.verdictOn(worker);
-    const isSuspect = this.crashesUnder(asked).length > 0;
-    if (standing === 'ended' && isSuspect) await this.noteBroken(worker, asked, 'any-node');
+  private async probeAfterCancel(
+    worker: WorkerRecord,
+    request: FingerprintedRequest,
+  ): Promise<void> {
+    const liveness = await this.livenessOf(worker);
+    const isSuspect = this.crashesUnder(request).length > 0;
+    if (liveness === 'ended' && isSuspect) await this.noteBroken(worker, request, 'any-node');
   }
 
   /** A worker gave a whole answer: the request does not end workers. */
-  noteAnswered(asked: FingerprintedRequest): void {
-    const ends = this.crashesUnder(asked);
-    if (ends.length === 0) return;
-    const request = asked.fingerprint;
-    const untold = this.unreported.get(request)?.size ?? 0;
-    this.evidence.clear(request);
-    this.unreported.delete(request);
-    this.announced.delete(request);
-    if (ends.length > untold) this.options.reportAcquittal(request);
+  noteAnswered(request: FingerprintedRequest): void {
+    const crashes = this.crashesUnder(request);
+    if (crashes.length === 0) return;
+    const fingerprint = request.fingerprint;
+    const unreportedCount = this.unreported.get(fingerprint)?.size ?? 0;
+    this.evidence.clear(fingerprint);
+    this.unreported.delete(fingerprint);
+    this.loggedQuarantines.delete(fingerprint);
+    if (crashes.length > unreportedCount) this.options.reportAcquittal(fingerprint);
   }
 
   /** Takes in what another node, or an earlier life of this one, was told by a broken connection. */
   applyReport(report: CrashReport, at: Milliseconds): void {
-    for (const request of report.requests) {
-      this.evidence.note(request, { worker: report.worker, at });
-      this.announce(request);
+    for (const fingerprint of report.requests) {
+      this.evidence.note(fingerprint, { worker: report.worker, at });
+      this.logQuarantine(fingerprint);
     }
   }
 
   /** Another node took back that a request was at a worker when it ended, or an operator did. */
   withdraw({ worker, requests }: CrashReport): void {
-    for (const request of requests) {
-      this.evidence.withdraw(request, worker);
-      this.announced.delete(request);
+    for (const fingerprint of requests) {
+      this.evidence.withdraw(fingerprint, worker);
+      this.loggedQuarantines.delete(fingerprint);
     }
   }
 
-  private announce(request: RequestFingerprint): void {
-    const ends = this.evidence.endedUnder(request);
-    if (ends.length < MAX_CRASHED_WORKERS || this.announced.has(request)) return;
-    this.announced.add(request);
-    const workers = ends.map(({ worker }) => worker);
-    this.options.log.state('request-quarantined', { asked: request, workers: workers.join(', ') });
+  private logQuarantine(fingerprint: RequestFingerprint): void {
+    const crashes = this.evidence.crashesUnder(fingerprint);
+    if (crashes.length < MAX_CRASHED_WORKERS || this.loggedQuarantines.has(fingerprint)) return;
+    this.loggedQuarantines.add(fingerprint);
+    const workers = crashes.map(({ worker }) => worker);
+    this.options.log.state('request-quarantined', {
+      asked: fingerprint,
+      workers: workers.join(', '),
+    });
     this.options.metrics.count('quarantined_requests', {});
   }
 
   /** One question for all requests that were at a worker. */
-  private verdictOn(worker: WorkerRecord): Promise<WorkerLiveness> {
-    const life = workerIncarnationOf(worker);
-    const known = this.verdicts.get(life);
+  private livenessOf(worker: WorkerRecord): Promise<WorkerLiveness> {
+    const incarnation = workerIncarnationOf(worker);
+    const known = this.livenessProbes.get(incarnation);
     if (known !== undefined) return known;
-    const verdict = this.askWorker(worker);
-    this.verdicts.set(life, verdict);
-    void verdict.then((standing) => {
-      if (standing === 'lives') this.verdicts.delete(life);
-      else setTimeout(() => this.verdicts.delete(life), VERDICT_LIFETIME).unref();
+    const probe = this.probeWorker(worker);
+    this.livenessProbes.set(incarnation, probe);
+    void probe.then((liveness) => {
+      if (liveness === 'lives') this.livenessProbes.delete(incarnation);
+      else setTimeout(() => this.livenessProbes.delete(incarnation), LIVENESS_CACHE_TIME).unref();
     });
-    return verdict;
+    return probe;
   }
 
-  private async askWorker(worker: WorkerRecord): Promise<WorkerLiveness> {
-    const { probeLiveness: standingOf, log, metrics, clock } = this.options;
-    const askedAt = clock.now();
-    const standing = await standingOf(worker);
-    const tookMs = Math.round(clock.now() - askedAt);
-    metrics.count('broken_connections', { standing });
-    log.decision('broken-connection-looked-into', { worker: worker.id, standing, tookMs });
-    return standing;
+  private async probeWorker(worker: WorkerRecord): Promise<WorkerLiveness> {
+    const { probeLiveness, log, metrics, clock } = this.options;
+    const probedAt = clock.now();
+    const liveness = await probeLiveness(worker);
+    const tookMs = Math.round(clock.now() - probedAt);
+    metrics.count('broken_connections', { standing: liveness });
+    log.decision('broken-connection-looked-into', {
+      worker: worker.id,
+      standing: liveness,
+      tookMs,
+    });
+    return liveness;
   }
 
   /**
@@ -210,26 +222,26 @@
    * about to stop takes it along otherwise.
    */
   settle(): void {
-    clearTimeout(this.settleTimer);
-    this.settleTimer = undefined;
+    clearTimeout(this.reportTimer);
+    this.reportTimer = undefined;
     const requestsByWorker = new Map<WorkerIncarnation, RequestFingerprint[]>();
-    for (const [request, next] of this.settling) {
-      const workers = this.unreported.get(request);
-      if (workers === undefined || !this.isWorthTelling(request, next)) continue;
-      this.unreported.delete(request);
+    for (const [fingerprint, next] of this.pendingReports) {
+      const workers = this.unreported.get(fingerprint);
+      if (workers === undefined || !this.shouldReport(fingerprint, next)) continue;
+      this.unreported.delete(fingerprint);
       for (const worker of workers) {
-        requestsByWorker.set(worker, [...(requestsByWorker.get(worker) ?? []), request]);
+        requestsByWorker.set(worker, [...(requestsByWorker.get(worker) ?? []), fingerprint]);
       }
     }
-    this.settling.clear();
+    this.pendingReports.clear();
     for (const [worker, requests] of requestsByWorker) {
       this.options.log.state('worker-ended', { worker, requests: requests.length });
       this.options.reportCrash({ worker, requests });
     }
   }
 
-  private isWorthTelling(request: RequestFingerprint, next: NextSender): boolean {
-    const least = next === 'any-node' ? 1 : SUSPICIOUS_ENDS;
-    return this.evidence.endedUnder(request).length >= least;
+  private shouldReport(fingerprint: RequestFingerprint, next: NextSender): boolean {
+    const minCrashes = next === 'any-node' ? 1 : SUSPICIOUS_CRASHES;
+    return this.evidence.crashesUnder(fingerprint).length >= minCrashes;
   }
 }
--- a/src/serving/start-gate.ts
+++ b/src/serving/start-gate.ts
@@ -16,7 +16,7 @@
 export const START_WAIT_SHARE = 0.4;
 
 /** Patience of a caller that names none. */
-const DEFAULT_PATIENCE: Milliseconds = 2_500;
+const DEFAULT_TIMEOUT: Milliseconds = 2_500;
 
 /**
  * Requests held at once: an assumed bound on memory, and on what comes to the workers all together. No
@@ -25,8 +25,8 @@
 export const MAX_HELD_REQUESTS = 256;
 
 /** How long a request is held at most. */
-export function startWaitOf(patience: Milliseconds | undefined): Milliseconds {
-  return Math.min(MAX_START_WAIT, START_WAIT_SHARE * (patience ?? DEFAULT_PATIENCE));
+export function startWaitOf(timeout: Milliseconds | undefined): Milliseconds {
+  return Math.min(MAX_START_WAIT, START_WAIT_SHARE * (timeout ?? DEFAULT_TIMEOUT));
 }
 
 /** Opens once, when the node knows enough to serve. */
@@ -42,26 +42,26 @@
   /** The node can serve: all that waits goes on. */
   open(): void {
     this.isOpen = true;
-    for (const goOn of this.held) goOn();
+    for (const release of this.held) release();
   }
 
   /**
    * Resolves when the node can serve, when the request has waited long enough, or when its caller has
    * left; at once where it can serve already, or too many wait.
    */
-  wait(patience: Milliseconds | undefined, gone: AbortSignal): Promise<void> {
-    if (this.isOpen || this.held.size >= MAX_HELD_REQUESTS || gone.aborted)
+  wait(timeout: Milliseconds | undefined, disconnectSignal: AbortSignal): Promise<void> {
+    if (this.isOpen || this.held.size >= MAX_HELD_REQUESTS || disconnectSignal.aborted)
       return Promise.resolve();
     return new Promise((resolve) => {
-      const goOn = (): void => {
+      const release = (): void => {
         clearTimeout(timer);
-        gone.removeEventListener('abort', goOn);
-        this.held.delete(goOn);
+        disconnectSignal.removeEventListener('abort', release);
+        this.held.delete(release);
         resolve();
       };
-      const timer = setTimeout(goOn, startWaitOf(patience));
-      gone.addEventListener('abort', goOn);
-      this.held.add(goOn);
+      const timer = setTimeout(release, startWaitOf(timeout));
+      disconnectSignal.addEventListener('abort', release);
+      this.held.add(release);
     });
   }
 }
--- a/src/serving/stream-relay.ts
+++ b/src/serving/stream-relay.ts
@@ -29,7 +29,7 @@
     try {
       for await (const chunk of answer.body) {
         const events = reader.push(chunk as Buffer);
-        const inOrder = events.filter((event) => this.take(event));
+        const inOrder = events.filter((event) => this.accept(event));
         if (inOrder.length > 0) await this.sink.write(Buffer.concat(inOrder.map((e) => e.raw)));
         if (inOrder.length < events.length) return false;
       }
@@ -39,7 +39,7 @@
     return !reader.hasPartialEvent();
   }
 
-  private take(event: StreamEvent): boolean {
+  private accept(event: StreamEvent): boolean {
     if (event.id === undefined) return true;
     if (this.lastId !== undefined && event.id !== this.lastId + 1) return false;
     this.lastId = event.id;
--- a/src/serving/suspension-meter.ts
+++ b/src/serving/suspension-meter.ts
@@ -14,7 +14,7 @@
  * Least lead that the time of day gains between two readings for it to count. It is read in whole
  * milliseconds and adjusted by at most 0.5 ms a second; a lease is believed for 1,000 ms and more.
  */
-const LEAST_SUSPENSION: Milliseconds = 100;
+const MIN_SUSPENSION: Milliseconds = 100;
 
 /** Compares two clocks at each reading. */
 export class SuspensionMeter {
@@ -33,7 +33,7 @@
     const lead = this.timeOfDay() - this.steadyTime();
     const gained = lead - this.lead;
     this.lead = lead;
-    if (gained >= LEAST_SUSPENSION) this.total += gained;
+    if (gained >= MIN_SUSPENSION) this.total += gained;
     return this.total;
   }
 }
--- a/src/serving/worker-incarnation.ts
+++ b/src/serving/worker-incarnation.ts
@@ -8,15 +8,15 @@
 export type WorkerIncarnation = string;
 
 /** What tells lives apart. */
-type LifeFields = Pick<WorkerRecord, 'id' | 'startedAt'>;
+type IncarnationFields = Pick<WorkerRecord, 'id' | 'startedAt'>;
 
 /** The life that a record tells of; just the id where the worker does not tell its start. */
-export function workerIncarnationOf({ id, startedAt }: LifeFields): WorkerIncarnation {
+export function workerIncarnationOf({ id, startedAt }: IncarnationFields): WorkerIncarnation {
   return startedAt === undefined ? id : `${id}@${startedAt}`;
 }
 
 /** Whether a record tells of a later life than another record under the same id. */
-export function isLaterIncarnation(record: LifeFields, than: LifeFields): boolean {
+export function isLaterIncarnation(record: IncarnationFields, than: IncarnationFields): boolean {
   if (record.startedAt === undefined || than.startedAt === undefined) return false;
   return record.startedAt > than.startedAt;
 }
--- a/src/serving/worker-registry.ts
+++ b/src/serving/worker-registry.ts
@@ -17,14 +17,14 @@
 
 /** Time that a worker is passed over after failures in a row: base, doubled up to the limit. */
 const FAILURE_PENALTY: Milliseconds = 400;
-const LONGEST_PENALTY: Milliseconds = 3_200;
+const MAX_FAILURE_PENALTY: Milliseconds = 3_200;
 
 /**
  * Time that a worker is passed over after it said that it was full, doubled with each refusal in a row
  * up to the limit: one that loads weights refuses everything for most of a second, and looks empty.
  */
 const FULL_PENALTY: Milliseconds = 100;
-const LONGEST_FULL_PENALTY: Milliseconds = 800;
+const MAX_FULL_PENALTY: Milliseconds = 800;
 
 /** Time that a worker is passed over after its streams paused. */
 const STALL_PENALTY: Milliseconds = 600;
@@ -36,10 +36,10 @@
  * Share of a new sample in the moving mean of the time for one event. A worker that streams some
  * answers gives hundreds of samples a second.
  */
-const PACE_SMOOTHING = 0.03;
+const EVENT_INTERVAL_SMOOTHING = 0.03;
 
 /** A single pause counts as this many times the mean at most: it need not mean a slow worker. */
-const LARGEST_PACE_STEP = 2;
+const MAX_EVENT_INTERVAL_RATIO = 2;
 
 /** One known worker. */
 export class KnownWorker {
@@ -48,9 +48,9 @@
   /** Moving mean of the time between two events, or `undefined` before the first. */
   eventInterval: Milliseconds | undefined;
   private penalizedUntil: Milliseconds = 0;
-  private failuresInARow = 0;
-  private refusalsInARow = 0;
-  private readonly shownVersions = new Map<ModelName, WeightVersion>();
+  private consecutiveFailures = 0;
+  private consecutiveRejections = 0;
+  private readonly reportedVersions = new Map<ModelName, WeightVersion>();
   /** Models whose weights it loads, by the time until which that is believed. */
   private readonly loadingUntil = new Map<ModelName, Milliseconds>();
   private load: ReportedLoad | undefined;
@@ -61,29 +61,29 @@
   /** Takes note of how a request ended. */
   noteOutcome(outcome: WorkerOutcome, now: Milliseconds): void {
     if (outcome === 'success') {
-      this.failuresInARow = 0;
-      this.refusalsInARow = 0;
+      this.consecutiveFailures = 0;
+      this.consecutiveRejections = 0;
       this.penalizedUntil = 0;
       return;
     }
     if (outcome === 'full') {
-      this.noteRefusal(now);
+      this.noteRejection(now);
       return;
     }
     if (outcome === 'stalled') {
       this.penalizedUntil = Math.max(this.penalizedUntil, now + STALL_PENALTY);
       return;
     }
-    const penalty = Math.min(FAILURE_PENALTY * 2 ** this.failuresInARow, LONGEST_PENALTY);
-    this.failuresInARow += 1;
+    const penalty = Math.min(FAILURE_PENALTY * 2 ** this.consecutiveFailures, MAX_FAILURE_PENALTY);
+    this.consecutiveFailures += 1;
     this.penalizedUntil = now + penalty;
   }
 
   /** Requests that were sent together are refused together: that counts once. */
-  private noteRefusal(now: Milliseconds): void {
+  private noteRejection(now: Milliseconds): void {
     if (this.isPenalized(now)) return;
-    const penalty = Math.min(FULL_PENALTY * 2 ** this.refusalsInARow, LONGEST_FULL_PENALTY);
-    this.refusalsInARow += 1;
+    const penalty = Math.min(FULL_PENALTY * 2 ** this.consecutiveRejections, MAX_FULL_PENALTY);
+    this.consecutiveRejections += 1;
     this.penalizedUntil = now + penalty;
   }
 
@@ -100,8 +100,8 @@
       this.eventInterval = sample;
       return;
     }
-    const bounded = Math.min(sample, LARGEST_PACE_STEP * this.eventInterval);
-    this.eventInterval += PACE_SMOOTHING * (bounded - this.eventInterval);
+    const bounded = Math.min(sample, MAX_EVENT_INTERVAL_RATIO * this.eventInterval);
+    this.eventInterval += EVENT_INTERVAL_SMOOTHING * (bounded - this.eventInterval);
   }
 
   /** Whether failures or fullness speak against the worker now. */
@@ -134,13 +134,13 @@
   /** Version of a model that it holds; 0 where it does not hold the model. */
   versionOf(model: ModelName): WeightVersion {
     const registered = this.record.models.find((held) => held.name === model)?.version ?? 0;
-    return Math.max(registered, this.shownVersions.get(model) ?? 0);
+    return Math.max(registered, this.reportedVersions.get(model) ?? 0);
   }
 
   /** Takes note of a version that the worker itself showed; its record may lag behind. */
   noteVersion(model: ModelName, version: WeightVersion): void {
     this.loadingUntil.delete(model);
-    if (version > this.versionOf(model)) this.shownVersions.set(model, version);
+    if (version > this.versionOf(model)) this.reportedVersions.set(model, version);
   }
 }
 
@@ -169,14 +169,14 @@
   put(record: WorkerRecord): WorkerChange {
     const known = this.workers.get(record.id);
     if (known !== undefined && isLaterIncarnation(known.record, record)) return 'outdated';
-    const isSameLife = known !== undefined && !isLaterIncarnation(record, known.record);
-    if (isSameLife && known.record.service === record.service) {
+    const isSameIncarnation = known !== undefined && !isLaterIncarnation(record, known.record);
+    if (isSameIncarnation && known.record.service === record.service) {
       known.record = record;
       return 'updated';
     }
     this.remove(record.id);
     this.add(new KnownWorker(record));
-    return known === undefined || isSameLife ? 'added' : 'restarted';
+    return known === undefined || isSameIncarnation ? 'added' : 'restarted';
   }
 
   private add(worker: KnownWorker): void {
@@ -216,7 +216,7 @@
   }
 
   /** Whether a service has workers and none of them stands where work of these regions may go. */
-  areAllOutside(service: ServiceName, allowed: AllowedRegions): boolean {
+  areAllOutsideRegions(service: ServiceName, allowed: AllowedRegions): boolean {
     if (allowed === undefined) return false;
     const workers = this.available(service);
     const isOutside = ({ record }: KnownWorker): boolean =>
@@ -240,7 +240,7 @@
     now: Milliseconds,
     allowed?: AllowedRegions,
   ): KnownWorker | undefined {
-    return this.leastRanked(this.eligible(service, allowed), tried, zone, now);
+    return this.lowestRanked(this.eligible(service, allowed), tried, zone, now);
   }
 
   /** The same among the workers of other regions, for work that has to find room and has none in its own. */
@@ -251,21 +251,21 @@
     now: Milliseconds,
     allowed?: AllowedRegions,
   ): KnownWorker | undefined {
-    const beyond = this.eligible(service, allowed).filter(
+    const inOtherRegions = this.eligible(service, allowed).filter(
       ({ record }) => this.distanceBetween(zone, record.zone) === 'other-region',
     );
-    return this.leastRanked(beyond, tried, zone, now);
+    return this.lowestRanked(inOtherRegions, tried, zone, now);
   }
 
-  private leastRanked(
-    receivers: readonly KnownWorker[],
+  private lowestRanked(
+    eligible: readonly KnownWorker[],
     tried: Pick<ReadonlySet<string>, 'has'>,
     zone: ZoneName,
     now: Milliseconds,
   ): KnownWorker | undefined {
-    const fresh = receivers.filter((worker) => !tried.has(worker.record.id));
-    const sound = fresh.filter((worker) => !worker.isPenalized(now));
-    const candidates = sound.length > 0 ? sound : fresh;
+    const untried = eligible.filter((worker) => !tried.has(worker.record.id));
+    const unpenalized = untried.filter((worker) => !worker.isPenalized(now));
+    const candidates = unpenalized.length > 0 ? unpenalized : untried;
     const rank = (worker: KnownWorker): number =>
       worker.occupancy(now) / worker.record.slots +
       requestDistanceCost(this.distanceBetween(zone, worker.record.zone));
--- a/src/serving/worker-sender.ts
+++ b/src/serving/worker-sender.ts
@@ -7,7 +7,7 @@
 import { type AllowedRegions, allowedByBoth } from '../placement/allowed-regions.js';
 import { type TenantName, tenantNameOf } from '../tenants/tenant.js';
 import type { CallerRequest } from './answer-sink.js';
-import { SERVER_ERROR } from './attempt.js';
+import { SERVER_ERROR_STATUS } from './attempt.js';
 import type { EngineOutcome } from './engine-port.js';
 import type { RequestForwarderOptions } from './forwarding-options.js';
 import { FingerprintedRequest } from './request-fingerprint.js';
@@ -36,8 +36,8 @@
   private readonly tried = new Map<string, Milliseconds>();
   private readonly aborts = new Set<AbortController>();
   private hasBegun = false;
-  private underWay = 0;
-  private readonly asked: FingerprintedRequest;
+  private inFlight = 0;
+  private readonly fingerprinted: FingerprintedRequest;
   /** Workers that it was sent to. */
   attempts = 0;
   /** Whether a worker may have run it. */
@@ -46,29 +46,29 @@
   constructor(private readonly options: WorkerSenderOptions) {
     const { request } = options;
     const tenant = tenantNameOf(request.caller);
-    this.asked = new FingerprintedRequest(() => ({ ...request, tenant }));
+    this.fingerprinted = new FingerprintedRequest(() => ({ ...request, tenant }));
   }
 
   /** Where it may be served now: a configuration that has come since binds each further attempt. */
   private get allowedRegions(): AllowedRegions {
     const { request, route, routes } = this.options;
     const { caller, host, path } = request;
-    const known = caller.kind === 'tenant' ? caller.tenant : undefined;
-    const inForce = routes?.();
-    const owner = known && (inForce?.tenants.named(known.name) ?? known);
-    const { allowedRegions } = inForce?.match(host, path) ?? route;
+    const callerTenant = caller.kind === 'tenant' ? caller.tenant : undefined;
+    const activeRoutes = routes?.();
+    const owner = callerTenant && (activeRoutes?.tenants.named(callerTenant.name) ?? callerTenant);
+    const { allowedRegions } = activeRoutes?.match(host, path) ?? route;
     return allowedByBoth(allowedRegions, owner?.allowedRegions);
   }
 
   /** Why no worker may be sent the request, whatever its route allows; `undefined` where one may. */
   refusal(): Failure | undefined {
-    return this.options.quarantine.refusalOf(this.asked) ?? this.refusalByRegion();
+    return this.options.quarantine.refusalOf(this.fingerprinted) ?? this.refusalByRegion();
   }
 
   /** Waiting does not bring a worker to the regions in which the request may be served. */
   private refusalByRegion(): Failure | undefined {
     const { registry, service } = this.options;
-    if (!registry.areAllOutside(service, this.allowedRegions)) return undefined;
+    if (!registry.areAllOutsideRegions(service, this.allowedRegions)) return undefined;
     const regions = this.allowedRegions?.join(', ') ?? '';
     return failure('region_unavailable', `no worker in the allowed regions (${regions})`);
   }
@@ -80,7 +80,7 @@
   pick(): KnownWorker | undefined {
     const { route, registry, service, zone, clock, quarantine } = this.options;
     if (this.attempts >= route.maxAttempts) return undefined;
-    if (!quarantine.admits(this.asked, this.underWay)) return undefined;
+    if (!quarantine.admits(this.fingerprinted, this.inFlight)) return undefined;
     return registry.pick(service, this.tried, zone, clock.now(), this.allowedRegions);
   }
 
@@ -93,7 +93,7 @@
     const abort = new AbortController();
     this.aborts.add(abort);
     this.attempts += 1;
-    this.underWay += 1;
+    this.inFlight += 1;
     worker.inFlight += 1;
     const sentAt = clock.now();
     this.tried.set(worker.record.id, sentAt);
@@ -120,10 +120,10 @@
       abort.signal,
     );
     worker.inFlight -= 1;
-    this.underWay -= 1;
-    if (outcome.kind === 'failed' && outcome.cause === 'broken') this.noteBrokenOff(worker);
+    this.inFlight -= 1;
+    if (outcome.kind === 'failed' && outcome.cause === 'broken') this.noteConnectionBroken(worker);
     if (outcome.kind === 'failed' && outcome.cause === 'cancelled') {
-      this.options.quarantine.noteGivenUp(worker.record, this.asked);
+      this.options.quarantine.noteCancelled(worker.record, this.fingerprinted);
     }
     if (outcome.kind !== 'failed') worker.noteLoad(outcome.load, clock.now());
     if (outcome.kind === 'failed' && outcome.mayHaveRun) this.mayHaveRun = true;
@@ -136,19 +136,19 @@
    * several nodes and tries can be told to be about one request; the others that were at the worker
    * or under way elsewhere tell whether it was alone, and whether it was sent to two workers at once.
    */
-  noteBrokenOff(worker: KnownWorker): void {
+  noteConnectionBroken(worker: KnownWorker): void {
     const { request, route, log, clock, quarantine } = this.options;
     const { id } = worker.record;
     log.decision('attempt-broken', {
       request: request.requestId,
-      asked: this.asked.fingerprint,
+      asked: this.fingerprinted.fingerprint,
       route: route.name,
       worker: id,
       atWorkerMs: Math.round(clock.now() - (this.tried.get(id) ?? clock.now())),
       othersThere: worker.inFlight,
-      elsewhere: this.underWay,
+      elsewhere: this.inFlight,
     });
-    void quarantine.noteBroken(worker.record, this.asked, 'any-node');
+    void quarantine.noteBroken(worker.record, this.fingerprinted, 'any-node');
   }
 
   /**
@@ -156,7 +156,7 @@
    * request may have been cut short before it could end the worker.
    */
   noteAnswered(status: number): void {
-    if (status < SERVER_ERROR) this.options.quarantine.noteAnswered(this.asked);
+    if (status < SERVER_ERROR_STATUS) this.options.quarantine.noteAnswered(this.fingerprinted);
   }
 
   /** Ends all attempts. */
--- a/src/tenants/tenant-directory.ts
+++ b/src/tenants/tenant-directory.ts
@@ -1,17 +1,17 @@
 /**
- * Finds the tenant that an API key proves. Keys are looked up by their digests: one look takes the
- * same time for any number of tenants, and tells nothing of how much of a guessed key was right.
+ * Identifies tenants by API key. Keys are looked up by digest, in constant time for any number of
+ * tenants; the time does not reveal how much of a guessed key was right.
  */
 import { digestOf, fingerprintOf, type SecretDigest } from '../core/secret-digest.js';
 import { type Failure, failure } from '../errors/error-kinds.js';
 import { type CallerIdentity, type Tenant, type TenantName, UNRESTRICTED } from './tenant.js';
 
-/** The tenants of one configuration, by their keys. */
+/** The tenants of one configuration, by key digest and by name. */
 export class TenantDirectory {
   private readonly byDigest = new Map<SecretDigest, Tenant>();
   private readonly byName = new Map<TenantName, Tenant>();
 
-  /** `tenants` is undefined where the configuration knows none; keys are then not asked for. */
+  /** `tenants` is undefined where the configuration defines none; no keys are then required. */
   constructor(private readonly tenants: readonly Tenant[] | undefined) {
     for (const tenant of tenants ?? []) {
       this.byName.set(tenant.name, tenant);
@@ -19,14 +19,14 @@
     }
   }
 
-  /** The tenant of this name, if the configuration still has it. */
+  /** The tenant of this name; `undefined` where the configuration no longer has it. */
   named(name: TenantName): Tenant | undefined {
     return this.byName.get(name);
   }
 
   /**
-   * On whose behalf a call with this key comes, or why it is refused. Where `isPublic`, no key is
-   * needed, and a known one still names its tenant.
+   * The caller of a request with this key, or the failure `unauthenticated`. Where `isPublic`, no
+   * key is required; a known key still identifies its tenant.
    */
   identify(key: string | undefined, isPublic: boolean): CallerIdentity | Failure {
     if (this.tenants === undefined) return UNRESTRICTED;
--- a/src/tenants/tenant.ts
+++ b/src/tenants/tenant.ts
@@ -1,38 +1,38 @@
-/** Tenants, and what a caller may reach by the tenant that its key proves. */
+/** Tenants, identities of callers, and access to what a tenant owns. */
 import type { SecretDigest } from '../core/secret-digest.js';
 import type { AllowedRegions } from '../placement/allowed-regions.js';
 
-/** Name of a tenant, as workers and usage reports are told it. */
+/** Name of a tenant; sent to workers and in usage reports. */
 export type TenantName = string;
 
-/** One tenant of the operator's configuration. */
 export interface Tenant {
   readonly name: TenantName;
-  /** Digests of the API keys that prove it. */
+  /** Digests of its API keys. */
   readonly keyDigests: readonly SecretDigest[];
-  /** Rank of its requests, 0 the most urgent; `undefined` leaves that to the route. */
+  /** Priority of its requests, 0 the most urgent; `undefined` uses that of the route. */
   readonly priority: number | undefined;
-  /** Where its requests may be served and kept, whatever their routes allow. @default anywhere */
+  /**
+   * Regions in which its requests may be served and stored; routes may limit further. @default any
+   */
   readonly allowedRegions?: AllowedRegions;
 }
 
-/** On whose behalf a call comes. */
+/** The identified caller of a request. */
 export type CallerIdentity =
-  /** The configuration has no tenants, so nobody is asked for a key. */
+  /** The configuration has no tenants, so no key is required. */
   | { readonly kind: 'unrestricted' }
-  /** No key was shown, on a route that is open to all. */
+  /** No known key was sent, on a public route. */
   | { readonly kind: 'anonymous' }
   | { readonly kind: 'tenant'; readonly tenant: Tenant };
 
-/** The identity of every caller where the configuration has no tenants. */
 export const UNRESTRICTED: CallerIdentity = { kind: 'unrestricted' };
 
-/** The tenant that a caller proved, by name. */
+/** Name of the caller's tenant; `undefined` where the caller has none. */
 export function tenantNameOf(caller: CallerIdentity): TenantName | undefined {
   return caller.kind === 'tenant' ? caller.tenant.name : undefined;
 }
 
-/** Whether a caller may read, repeat or end what belongs to an owner; `undefined` owns for all. */
+/** Whether a caller may read, repeat or cancel what `owner` owns; without an owner all may. */
 export function mayAccess(caller: CallerIdentity, owner: TenantName | undefined): boolean {
   if (owner === undefined || caller.kind === 'unrestricted') return true;
   return tenantNameOf(caller) === owner;
--- a/test/placement/cold-fleet.ts
+++ b/test/placement/cold-fleet.ts
@@ -25,10 +25,10 @@
   readonly clock = new ManualClock();
   readonly warmth = new WorkerWarmth(this.clock);
   readonly metrics = new FleetMetrics();
-  readonly looked: string[] = [];
+  readonly probed: string[] = [];
   /** The fencing token that it takes for valid. */
   token: Revision | undefined;
-  wantsPermits = false;
+  needsPermits = false;
   readonly granter: PermitGranter;
   readonly rule: ColdWorkerRule;
   readonly rules: SendRules;
@@ -43,33 +43,33 @@
       fencingToken: () => this.token,
       tokenValidity: TOKEN_VALIDITY,
       workerOf: (id) => workers.get(id),
-      probe: ({ id }) => this.looked.push(id),
+      probe: ({ id }) => this.probed.push(id),
     });
     const wanted = (): void => {
-      this.wantsPermits = true;
+      this.needsPermits = true;
     };
     this.rule = new ColdWorkerRule({ ...shared, onPermitsNeeded: wanted });
     this.rules = new SendRules([this.rule]);
   }
 
   /** Takes in the answer to a question that was sent at `sentAt`. */
-  take(answer: PermitAnswer, sentAt: Milliseconds): boolean {
+  applyAnswer(answer: PermitAnswer, sentAt: Milliseconds): boolean {
     return this.rule.applyAnswer(answer, sentAt, (id) => this.workers.get(id));
   }
 
   /** Asks a granter that answers at once. */
-  ask(granter: ColdGateway): PermitAnswer {
+  requestPermits(granter: ColdGateway): PermitAnswer {
     const sentAt = suspendAwareTime(this.clock);
-    this.wantsPermits = false;
+    this.needsPermits = false;
     const answer = granter.granter.answer(this.rule.takeRequests());
-    this.take(answer, sentAt);
+    this.applyAnswer(answer, sentAt);
     return answer;
   }
 
   /** Sends requests to a worker as long as the rules let them go, up to a number; tells how many went. */
-  send(worker: WorkerRecord, most: number): number {
+  send(worker: WorkerRecord, limit: number): number {
     let sent = 0;
-    while (sent < most && this.rules.admit(worker, undefined) === undefined) sent += 1;
+    while (sent < limit && this.rules.admit(worker, undefined) === undefined) sent += 1;
     return sent;
   }
 }
--- a/test/placement/cold-workers.test.ts
+++ b/test/placement/cold-workers.test.ts
@@ -4,7 +4,7 @@
  */
 import t from 'tap';
 import { NOT_GRANTER } from '../../src/placement/cold-permits.js';
-import { GRANT_SPREAD } from '../../src/placement/permit-bucket.js';
+import { MAX_GRANT_TO_SEND_DELAY } from '../../src/placement/permit-bucket.js';
 import type { WorkerRecord } from '../../src/serving/traffic-configuration.js';
 import { worker } from '../serving/serving-fixtures.js';
 import { COLD_START, ColdGateway, HARD_BOUND, TOKEN_VALIDITY } from './cold-fleet.js';
@@ -12,7 +12,7 @@
 const COLD = worker('w1', { coldFor: 3_000 });
 
 /** Time after which a granter that just got the token may grant. */
-const TAKE_OVER = TOKEN_VALIDITY + GRANT_SPREAD + 1_000;
+const TAKE_OVER = TOKEN_VALIDITY + MAX_GRANT_TO_SEND_DELAY + 1_000;
 
 /** Gateways that have just seen a cold worker start; the first one has granted for long. */
 function fleet(count: number, record: WorkerRecord = COLD): ColdGateway[] {
@@ -37,19 +37,19 @@
 t.test('a worker of a service without a cold start needs no permit', async (t) => {
   const [gateway] = fleet(1);
   t.equal(gateway?.send(worker('w9', { service: 'other' }), 100), 100);
-  t.equal(gateway?.wantsPermits, false);
+  t.equal(gateway?.needsPermits, false);
 });
 
 t.test('no permit, no send; a permit lets one request go, for a short time', async (t) => {
   const gateways = fleet(2);
   const [granter, asker] = gateways as [ColdGateway, ColdGateway];
   t.equal(asker.send(COLD, 5), 0);
-  t.equal(asker.wantsPermits, true);
-  asker.ask(granter);
+  t.equal(asker.needsPermits, true);
+  asker.requestPermits(granter);
   t.equal(asker.send(COLD, 5), 2, 'the two that were granted');
   pass(gateways, 1_000);
   asker.send(COLD, 1);
-  asker.ask(granter);
+  asker.requestPermits(granter);
   pass(gateways, 250);
   t.equal(asker.send(COLD, 5), 0, 'too old');
   t.equal(asker.metrics.snapshot()['cold_permits.void'], 2);
@@ -63,7 +63,7 @@
     asker.send(COLD, 1);
     granter.granter.answer(asker.rule.takeRequests());
     t.equal(asker.send(COLD, 1), 0);
-    asker.take(NOT_GRANTER, asker.clock.time);
+    asker.applyAnswer(NOT_GRANTER, asker.clock.time);
     t.equal(asker.send(COLD, 1), 0);
     pass(gateways, 2_900);
     t.equal(asker.send(COLD, 1), 0);
@@ -75,7 +75,7 @@
 t.test('an asker that is suspended with permits in hand wakes without them', async (t) => {
   const [granter, asker] = fleet(2) as [ColdGateway, ColdGateway];
   asker.send(COLD, 1);
-  asker.ask(granter);
+  asker.requestPermits(granter);
   asker.clock.suspended += 400;
   t.equal(asker.send(COLD, 5), 0);
 });
@@ -86,7 +86,7 @@
   const sentAt = asker.clock.time;
   const answer = granter.granter.answer(asker.rule.takeRequests());
   asker.clock.time += 300;
-  asker.take(answer, sentAt);
+  asker.applyAnswer(answer, sentAt);
   t.equal(asker.send(COLD, 5), 0);
 });
 
@@ -101,7 +101,7 @@
     asker.clock.time += TAKE_OVER + 5_000;
     const answer = granter.granter.answer(wishes);
     asker.warmth.noteReported(COLD, 3_000, asker.clock.time);
-    asker.take(answer, sentAt);
+    asker.applyAnswer(answer, sentAt);
     t.equal(asker.send(COLD, 5), 0);
   },
 );
@@ -110,20 +110,20 @@
   const gateways = fleet(3);
   const [before, after, asker] = gateways as [ColdGateway, ColdGateway, ColdGateway];
   asker.send(COLD, 1);
-  asker.ask(before);
+  asker.requestPermits(before);
   t.equal(asker.send(COLD, 9), 2);
   before.token = undefined;
   after.token = 8;
   for (let time = 0; time < TAKE_OVER; time += 100) {
     asker.warmth.noteReported(COLD, 3_000, asker.clock.time);
     asker.send(COLD, 1);
-    asker.ask(after);
+    asker.requestPermits(after);
     t.equal(asker.send(COLD, 9), 0);
     pass(gateways, 100);
   }
   after.warmth.noteReported(COLD, 3_000, after.clock.time);
   asker.send(COLD, 1);
-  asker.ask(after);
+  asker.requestPermits(after);
   t.equal(asker.send(COLD, 9), 2);
 });
 
@@ -139,7 +139,7 @@
       for (const { warmth, clock } of gateways) warmth.noteReported(COLD, 3_000, clock.time);
       asker.send(COLD, 1);
       const mayKnowOnlyBefore = index === 0 && before.token !== undefined;
-      asker.ask(mayKnowOnlyBefore ? before : after);
+      asker.requestPermits(mayKnowOnlyBefore ? before : after);
       const sent = asker.send(COLD, 9);
       for (let left = sent; left > 0; left -= 1) sentAt.push(time);
     }
@@ -156,9 +156,9 @@
   const [before, after, asker] = gateways as [ColdGateway, ColdGateway, ColdGateway];
   after.token = 8;
   asker.send(COLD, 1);
-  asker.ask(after);
+  asker.requestPermits(after);
   asker.send(COLD, 1);
-  asker.ask(before);
+  asker.requestPermits(before);
   t.equal(asker.send(COLD, 9), 0);
 });
 
@@ -166,7 +166,7 @@
   const [granter, asker] = fleet(2) as [ColdGateway, ColdGateway];
   asker.send(COLD, 1);
   granter.token = undefined;
-  t.same(asker.ask(granter), NOT_GRANTER);
+  t.same(asker.requestPermits(granter), NOT_GRANTER);
   t.equal(asker.send(COLD, 9), 0);
 });
 
@@ -181,9 +181,9 @@
     started.warmth.noteListed();
     t.equal(started.send(warm, 1), 0);
     started.clock.time += 1;
-    started.ask(granter);
+    started.requestPermits(granter);
     t.equal(started.send(warm, 50), 50);
-    t.same(granter.looked, [], 'the granter knew');
+    t.same(granter.probed, [], 'the granter knew');
   },
 );
 
@@ -196,7 +196,7 @@
   started.warmth.noteListed();
   started.send(COLD, 1);
   started.clock.time += 1;
-  started.ask(granter);
+  started.requestPermits(granter);
   t.equal(started.send(COLD, 50), 50, 'it was cold long ago');
 });
 
@@ -210,17 +210,17 @@
     asker.warmth.markUnconfirmed(COLD);
     t.equal(asker.send(COLD, 1), 0);
     pass(gateways, 20);
-    asker.ask(granter);
-    t.same(granter.looked, ['w1'], 'the granter has not heard of the return');
+    asker.requestPermits(granter);
+    t.same(granter.probed, ['w1'], 'the granter has not heard of the return');
     t.equal(asker.send(COLD, 9), 2, 'under permits');
     granter.warmth.noteReported(COLD, 2_000, granter.clock.time);
     asker.send(COLD, 1);
-    asker.ask(granter);
+    asker.requestPermits(granter);
     pass(gateways, 1_900);
     t.equal(asker.warmth.of(COLD, COLD_START).kind, 'cold', 'as the worker told');
     pass(gateways, 300);
     asker.send(COLD, 1);
-    asker.ask(granter);
+    asker.requestPermits(granter);
     t.equal(asker.send(COLD, 50), 50);
   },
 );
@@ -229,7 +229,7 @@
   const [granter] = fleet(1) as [ColdGateway];
   for (let time = 0; time < 3_200; time += 50) {
     granter.send(COLD, 1);
-    granter.ask(granter);
+    granter.requestPermits(granter);
     granter.clock.time += 50;
   }
   t.equal(granter.send(COLD, 50), 50);
--- a/test/placement/permit-bucket.test.ts
+++ b/test/placement/permit-bucket.test.ts
@@ -1,6 +1,10 @@
 /** How many permits one cold worker's bucket grants, by what the worker bears and the bound. */
 import t from 'tap';
-import { GRANT_SPREAD, PermitBucket, permitPace } from '../../src/placement/permit-bucket.js';
+import {
+  MAX_GRANT_TO_SEND_DELAY,
+  PermitBucket,
+  permitLimits,
+} from '../../src/placement/permit-bucket.js';
 import { COLD_START, TOLERANCE } from './cold-fleet.js';
 
 t.test('a bucket keeps the bound in every window over which its permits may go', async (t) => {
@@ -24,7 +28,7 @@
     ],
   ] as const;
   for (const [coldStart, tolerance] of cases) {
-    const pace = permitPace(coldStart, tolerance);
+    const pace = permitLimits(coldStart, tolerance);
     const bound = Math.floor(coldStart.requestsPerSecond * tolerance.factor + tolerance.requests);
     const bucket = new PermitBucket();
     const grants: number[] = [];
@@ -32,7 +36,7 @@
       const wanted = now % 3_001 < 1_500 ? 5 : 0;
       for (let left = bucket.take(wanted, pace, now); left > 0; left -= 1) grants.push(now);
     }
-    const window = 1_000 + GRANT_SPREAD;
+    const window = 1_000 + MAX_GRANT_TO_SEND_DELAY;
     const most = Math.max(
       0,
       ...grants.map((from) => grants.filter((at) => at >= from && at <= from + window).length),
--- a/test/placement/shared-rate.ts
+++ b/test/placement/shared-rate.ts
@@ -1,6 +1,10 @@
 /** A way to spare cold workers without a granter, which permits are compared with. */
 import { rendezvousOrder } from '../../src/core/hashing.js';
-import { PermitBucket, type PermitPace, permitPace } from '../../src/placement/permit-bucket.js';
+import {
+  PermitBucket,
+  type PermitLimits,
+  permitLimits,
+} from '../../src/placement/permit-bucket.js';
 import type { SendRejection, SendRule } from '../../src/placement/send-rules.js';
 import type { WorkerRecord } from '../../src/serving/traffic-configuration.js';
 import { COLD_START, type ColdGateway, TOLERANCE } from './cold-fleet.js';
@@ -24,11 +28,11 @@
     if (!senders.includes(this.name)) return 'worker-cold';
     const bucket = this.buckets.get(record.id) ?? new PermitBucket();
     this.buckets.set(record.id, bucket);
-    return bucket.take(1, this.pace(), this.gateway.clock.now()) > 0 ? undefined : 'worker-cold';
+    return bucket.take(1, this.limits(), this.gateway.clock.now()) > 0 ? undefined : 'worker-cold';
   }
 
-  private pace(): PermitPace {
-    const { rate } = permitPace(COLD_START, TOLERANCE);
+  private limits(): PermitLimits {
+    const { rate } = permitLimits(COLD_START, TOLERANCE);
     return { rate: rate / 4, saved: 1 };
   }
 }
--- a/test/placement/stale-evacuation-rule.test.ts
+++ b/test/placement/stale-evacuation-rule.test.ts
@@ -4,19 +4,19 @@
 
 /** A belief whose surroundings a test sets. */
 function fixture() {
-  const surroundings = { limit: 5_000 as number | undefined, age: 0, hasPeers: true };
+  const state = { limit: 5_000 as number | undefined, age: 0, hasPeers: true };
   const lines: string[] = [];
-  const belief = new StaleEvacuationRule({
-    limit: () => surroundings.limit,
-    contactAge: () => surroundings.age,
-    hasPeers: () => surroundings.hasPeers,
+  const rule = new StaleEvacuationRule({
+    limit: () => state.limit,
+    contactAge: () => state.age,
+    hasPeers: () => state.hasPeers,
     log: { state: (event) => lines.push(event) },
   });
-  const isOutdated = (): boolean => {
-    belief.tick();
-    return belief.isStale;
+  const isStale = (): boolean => {
+    rule.tick();
+    return rule.isStale;
   };
-  return { surroundings, belief, lines, isOutdated };
+  return { surroundings: state, belief: rule, lines, isOutdated: isStale };
 }
 
 t.test('what is known counts for its age and is doubted past it', async (t) => {
--- a/test/placement/zone-return.test.ts
+++ b/test/placement/zone-return.test.ts
@@ -5,17 +5,17 @@
  */
 import t from 'tap';
 import { HARD_BOUND } from './cold-fleet.js';
-import { playReturn } from './zone-return.js';
+import { simulateReturn } from './zone-return.js';
 
-const none = playReturn('none');
-const shares = playReturn('shares');
-const permits = playReturn('permits');
+const none = simulateReturn('none');
+const shares = simulateReturn('shares');
+const permits = simulateReturn('permits');
 
 t.test(
   'without a limit a zone that comes back cold falls over, and callers are refused',
   async (t) => {
-    t.ok(none.mostInOneSecond > HARD_BOUND);
-    t.ok(none.fallen > 0);
+    t.ok(none.maxPerSecond > HARD_BOUND);
+    t.ok(none.crashed > 0);
     t.ok(none.refused > 0);
     t.comment(none);
   },
@@ -24,8 +24,8 @@
 t.test(
   'under permits no cold worker is sent more than it bears, and nobody is refused',
   async (t) => {
-    t.ok(permits.mostInOneSecond <= HARD_BOUND, `${permits.mostInOneSecond} in one second`);
-    t.equal(permits.fallen, 0);
+    t.ok(permits.maxPerSecond <= HARD_BOUND, `${permits.maxPerSecond} in one second`);
+    t.equal(permits.crashed, 0);
     t.equal(permits.refused, 0);
     t.ok(permits.sentToCold > 0, 'the zone helps while it is cold');
     t.ok(permits.servedInTime > none.servedInTime);
@@ -36,8 +36,8 @@
 t.test(
   'senders that share the rate keep the bound too, and serve fewer callers in time',
   async (t) => {
-    t.ok(shares.mostInOneSecond <= HARD_BOUND);
-    t.equal(shares.fallen, 0);
+    t.ok(shares.maxPerSecond <= HARD_BOUND);
+    t.equal(shares.crashed, 0);
     t.ok(permits.servedInTime >= shares.servedInTime);
     t.ok(permits.waited <= shares.waited);
     t.comment(shares);
--- a/test/placement/zone-return.ts
+++ b/test/placement/zone-return.ts
@@ -10,7 +10,7 @@
 import { SharedRate } from './shared-rate.js';
 
 /** How cold workers are spared: not at all, by few senders that share the rate, or by permits. */
-export type Way = 'none' | 'shares' | 'permits';
+export type ProtectionMode = 'none' | 'shares' | 'permits';
 
 /** What became of the callers, and the most that any cold worker was sent within a second. */
 export interface ReturnOutcome {
@@ -20,8 +20,8 @@
   waited: number;
   refused: number;
   /** Cold workers that were sent more than they bear, and ended. */
-  fallen: number;
-  mostInOneSecond: number;
+  crashed: number;
+  maxPerSecond: number;
   /** Requests to workers while they were cold. */
   sentToCold: number;
 }
@@ -33,32 +33,32 @@
 const SLOTS = 6;
 const GATEWAYS = 4;
 const WORK: Milliseconds = 300;
-const IN_TIME: Milliseconds = 600;
+const ON_TIME_LIMIT: Milliseconds = 600;
 const LONG_WAIT: Milliseconds = 100;
-const PATIENCE: Milliseconds = 2_000;
+const CALLER_TIMEOUT: Milliseconds = 2_000;
 /** Three zones bear 480 a second, four 640. */
 const REQUESTS_PER_STEP = 6;
 const RETURN_AT: Milliseconds = 1_000;
-const FALL_TIME: Milliseconds = 2_000;
+const RESTART_TIME: Milliseconds = 2_000;
 const GRANTER = 0;
 const GRANTER_KILLED_AT: Milliseconds = 2_500;
 /** The lock's lease has lapsed, and another gateway has the lock. */
 const NEXT_GRANTER_AT: Milliseconds = 4_500;
 const SUSPENDED = 3;
 const SUSPENSION = { from: 1_800, to: 2_600 } as const;
-const VIEW_DELAY: Milliseconds = 1_000;
-const ANSWER_TIME: Milliseconds = 20;
-const ASK_INTERVAL: Milliseconds = 100;
+const MEMBERSHIP_DELAY: Milliseconds = 1_000;
+const ANSWER_DELAY: Milliseconds = 20;
+const PERMIT_REQUEST_INTERVAL: Milliseconds = 100;
 
 interface Request {
-  readonly cameAt: Milliseconds;
+  readonly arrivedAt: Milliseconds;
   readonly gateway: number;
 }
 
-interface PermitsUnderWay {
+interface PermitsInFlight {
   readonly gateway: number;
   readonly at: Milliseconds;
-  readonly take: () => void;
+  readonly apply: () => void;
 }
 
 class Worker {
@@ -72,25 +72,25 @@
 }
 
 /** Plays the return of a zone in one of the ways. */
-export function playReturn(way: Way): ReturnOutcome {
-  return new ZoneReturn(way).play();
+export function simulateReturn(mode: ProtectionMode): ReturnOutcome {
+  return new ZoneReturn(mode).run();
 }
 
 class ZoneReturn {
   private now: Milliseconds = 0;
-  private came = 0;
+  private arrived = 0;
   private waiting: Request[] = [];
   private readonly workers: Worker[] = [];
   private readonly gateways: ColdGateway[];
   private readonly rules: SendRules[];
-  private readonly nextAskAt = Array.from({ length: GATEWAYS }, () => 0);
-  private answers: PermitsUnderWay[] = [];
+  private readonly nextRequestAt = Array.from({ length: GATEWAYS }, () => 0);
+  private answers: PermitsInFlight[] = [];
   private readonly outcome: ReturnOutcome = {
     ...{ servedInTime: 0, servedLate: 0, waited: 0, refused: 0 },
-    ...{ fallen: 0, mostInOneSecond: 0, sentToCold: 0 },
+    ...{ crashed: 0, maxPerSecond: 0, sentToCold: 0 },
   };
 
-  constructor(private readonly way: Way) {
+  constructor(private readonly mode: ProtectionMode) {
     const records = new Map<string, WorkerRecord>();
     for (const zone of ZONES) {
       const isAway = zone === ZONES.at(-1);
@@ -108,9 +108,9 @@
   }
 
   private rulesOf(gateway: ColdGateway, index: number): SendRule[] {
-    if (this.way === 'none') return [];
-    if (this.way === 'permits') return [gateway.rule];
-    return [new SharedRate(gateway, `g${index}`, () => this.aliveInView())];
+    if (this.mode === 'none') return [];
+    if (this.mode === 'permits') return [gateway.rule];
+    return [new SharedRate(gateway, `g${index}`, () => this.visibleGateways())];
   }
 
   /** All of them have been there for long, and the first one grants. */
@@ -126,15 +126,15 @@
     }
   }
 
-  play(): ReturnOutcome {
+  run(): ReturnOutcome {
     for (; this.now < END; this.now += STEP) {
       this.passTime();
-      this.learnOfReturn();
-      this.followGranter();
-      this.takeIn();
+      this.applyReturnedRecords();
+      this.updateGranter();
+      this.acceptRequests();
       this.finishWork();
       this.dispatch();
-      this.askForPermits();
+      this.requestMissingPermits();
     }
     return this.outcome;
   }
@@ -148,8 +148,8 @@
     return index !== SUSPENDED || this.now < SUSPENSION.from || this.now >= SUSPENSION.to;
   }
 
-  private aliveInView(): string[] {
-    const isGranterMissed = this.now >= GRANTER_KILLED_AT + VIEW_DELAY;
+  private visibleGateways(): string[] {
+    const isGranterMissed = this.now >= GRANTER_KILLED_AT + MEMBERSHIP_DELAY;
     return this.gateways.map((_, index) => `g${index}`).slice(isGranterMissed ? 1 : 0);
   }
 
@@ -162,7 +162,7 @@
   }
 
   /** Each gateway reads the new records a little later than the one before. */
-  private learnOfReturn(): void {
+  private applyReturnedRecords(): void {
     for (const [index, { warmth }] of this.gateways.entries()) {
       if (this.now !== RETURN_AT + 100 * index) continue;
       for (const { record, downUntil } of this.workers) {
@@ -171,7 +171,7 @@
     }
   }
 
-  private followGranter(): void {
+  private updateGranter(): void {
     const next = this.gateways[GRANTER + 1];
     if (this.now === NEXT_GRANTER_AT && next !== undefined) next.token = 2;
     for (const [index, gateway] of this.gateways.entries()) {
@@ -179,12 +179,12 @@
     }
   }
 
-  private takeIn(): void {
+  private acceptRequests(): void {
     for (let count = 0; count < REQUESTS_PER_STEP; count += 1) {
-      const first = this.came % GATEWAYS;
-      this.came += 1;
+      const first = this.arrived % GATEWAYS;
+      this.arrived += 1;
       const gateway = this.isAlive(first) ? first : first + 1;
-      this.waiting.push({ cameAt: this.now, gateway });
+      this.waiting.push({ arrivedAt: this.now, gateway });
     }
   }
 
@@ -193,7 +193,7 @@
       const done = one.running.filter(({ endsAt }) => endsAt <= this.now);
       one.running = one.running.filter(({ endsAt }) => endsAt > this.now);
       for (const { request } of done) {
-        if (this.now - request.cameAt <= IN_TIME) this.outcome.servedInTime += 1;
+        if (this.now - request.arrivedAt <= ON_TIME_LIMIT) this.outcome.servedInTime += 1;
         else this.outcome.servedLate += 1;
       }
     }
@@ -202,7 +202,7 @@
   private dispatch(): void {
     const left: Request[] = [];
     for (const request of this.waiting) {
-      if (this.now - request.cameAt > PATIENCE) this.outcome.refused += 1;
+      if (this.now - request.arrivedAt > CALLER_TIMEOUT) this.outcome.refused += 1;
       else if (!this.isUp(this.ownerOf(request)) || !this.start(request)) left.push(request);
     }
     this.waiting = left;
@@ -215,15 +215,15 @@
 
   private start(request: Request): boolean {
     const owner = this.ownerOf(request);
-    const knows = (one: Worker): boolean =>
+    const isKnown = (one: Worker): boolean =>
       one.downUntil === 0 || this.now >= RETURN_AT + 100 * owner;
     const free = this.workers.filter(
-      (one) => one.running.length < SLOTS && this.now >= one.downUntil && knows(one),
+      (one) => one.running.length < SLOTS && this.now >= one.downUntil && isKnown(one),
     );
     free.sort((one, other) => one.running.length - other.running.length);
     const best = free.find((one) => this.rules[owner]?.admit(one.record, undefined) === undefined);
     if (best === undefined) return false;
-    if (this.now - request.cameAt > LONG_WAIT) this.outcome.waited += 1;
+    if (this.now - request.arrivedAt > LONG_WAIT) this.outcome.waited += 1;
     best.running.push({ request, endsAt: this.now + WORK });
     if (this.now < best.coldUntil) this.noteSentToCold(best);
     return true;
@@ -233,46 +233,46 @@
     one.sentWhileCold.push(this.now);
     const within = one.sentWhileCold.filter((at) => at >= this.now - 1_000).length;
     this.outcome.sentToCold += 1;
-    this.outcome.mostInOneSecond = Math.max(this.outcome.mostInOneSecond, within);
-    if (within > HARD_BOUND) this.fall(one);
+    this.outcome.maxPerSecond = Math.max(this.outcome.maxPerSecond, within);
+    if (within > HARD_BOUND) this.crash(one);
   }
 
-  private fall(one: Worker): void {
-    this.outcome.fallen += 1;
+  private crash(one: Worker): void {
+    this.outcome.crashed += 1;
     this.waiting.push(...one.running.map(({ request }) => request));
     one.running = [];
     one.sentWhileCold = [];
-    one.downUntil = this.now + FALL_TIME;
+    one.downUntil = this.now + RESTART_TIME;
     one.coldUntil = one.downUntil + COLD_START.duration;
   }
 
-  private askForPermits(): void {
-    if (this.way !== 'permits') return;
+  private requestMissingPermits(): void {
+    if (this.mode !== 'permits') return;
     for (const [index, gateway] of this.gateways.entries()) {
       if (!this.isUp(index)) continue;
-      this.hearAnswers(index);
-      if (!gateway.wantsPermits || this.now < (this.nextAskAt[index] ?? 0)) continue;
-      this.nextAskAt[index] = this.now + ASK_INTERVAL;
-      this.ask(gateway, index);
+      this.applyAnswers(index);
+      if (!gateway.needsPermits || this.now < (this.nextRequestAt[index] ?? 0)) continue;
+      this.nextRequestAt[index] = this.now + PERMIT_REQUEST_INTERVAL;
+      this.requestPermits(gateway, index);
     }
   }
 
-  private ask(gateway: ColdGateway, index: number): void {
+  private requestPermits(gateway: ColdGateway, index: number): void {
     const granter = this.now < NEXT_GRANTER_AT ? GRANTER : GRANTER + 1;
-    gateway.wantsPermits = false;
-    const wishes = gateway.rule.takeRequests();
+    gateway.needsPermits = false;
+    const requests = gateway.rule.takeRequests();
     if (!this.isUp(granter)) return;
-    const way = granter === index ? 0 : ANSWER_TIME;
+    const delay = granter === index ? 0 : ANSWER_DELAY;
     const sentAt = gateway.clock.now() + gateway.clock.suspendedTime();
-    const answer = this.gateways[granter]?.granter.answer(wishes);
+    const answer = this.gateways[granter]?.granter.answer(requests);
     if (answer === undefined) return;
-    const take = (): void => void gateway.take(answer, sentAt);
-    this.answers.push({ gateway: index, at: this.now + way, take });
+    const apply = (): void => void gateway.applyAnswer(answer, sentAt);
+    this.answers.push({ gateway: index, at: this.now + delay, apply: apply });
   }
 
-  private hearAnswers(index: number): void {
+  private applyAnswers(index: number): void {
     const mine = this.answers.filter((one) => one.gateway === index && one.at <= this.now);
     this.answers = this.answers.filter((one) => !mine.includes(one));
-    for (const { take } of mine) take();
+    for (const { apply: take } of mine) take();
   }
 }
--- a/test/serving/request-fingerprint.test.ts
+++ b/test/serving/request-fingerprint.test.ts
@@ -1,7 +1,7 @@
 import t from 'tap';
-import { type AskedWork, requestFingerprint } from '../../src/serving/request-fingerprint.js';
+import { type RequestContent, requestFingerprint } from '../../src/serving/request-fingerprint.js';
 
-const WORK: AskedWork = {
+const WORK: RequestContent = {
   method: 'POST',
   host: 'site.example',
   path: '/a/x',
@@ -16,7 +16,7 @@
 });
 
 t.test('any other work has another one', async (t) => {
-  const others: AskedWork[] = [
+  const others: RequestContent[] = [
     { ...WORK, method: 'GET' },
     { ...WORK, host: 'other.example' },
     { ...WORK, path: '/a/y' },
--- a/test/serving/request-forwarder.test.ts
+++ b/test/serving/request-forwarder.test.ts
@@ -29,7 +29,7 @@
   readonly sink: RecordingSink;
   readonly engine: ScriptedEngine;
   /** Tenants whose requests began to run. */
-  readonly begun: readonly string[];
+  readonly started: readonly string[];
 }
 
 async function forward(
@@ -41,9 +41,9 @@
   const engine = new ScriptedEngine(scripts);
   const registry = new WorkerRegistry();
   for (const id of ['w1', 'w2', 'w3']) registry.put(worker(id));
-  const begun: string[] = [];
+  const started: string[] = [];
   const forwarder = new RequestForwarder({
-    noteBegun: (tenant) => begun.push(tenant),
+    noteBegun: (tenant) => started.push(tenant),
     engine,
     versionField: VERSION_FIELD,
     registry,
@@ -56,7 +56,7 @@
   const sink = new RecordingSink();
   const request = callerRequest(requestFields);
   await forwarder.forward(request, route(routeFields), 'service', sink);
-  return { sink, engine, begun };
+  return { sink, engine, started: started };
 }
 
 t.test('the answer of a worker goes back as it is', async (t) => {
@@ -187,7 +187,7 @@
 });
 
 /** The time after which no worker may work for a caller that has left. */
-const LEAVING_BOUND = 500;
+const MAX_CANCEL_TIME = 500;
 
 /** A stream that gives some events and then waits, until its request is ended. */
 function waitingStream(letters: string): Script {
@@ -196,53 +196,53 @@
   return answer('', { body, isStream: true });
 }
 
-async function timeAfterLeaving(
+async function timeAfterDisconnect(
   scripts: Script[],
-  leaveAfter: number,
+  disconnectAfter: number,
   routeFields: Partial<Route>,
 ): Promise<Forwarded & { readonly time: number }> {
-  const gone = new AbortController();
-  let leftAt = performance.now();
-  const leave = (): void => {
-    leftAt = performance.now();
-    gone.abort();
+  const disconnect = new AbortController();
+  let disconnectedAt = performance.now();
+  const disconnectNow = (): void => {
+    disconnectedAt = performance.now();
+    disconnect.abort();
   };
-  if (leaveAfter === 0) leave();
-  else setTimeout(leave, leaveAfter);
-  const forwarded = await forward(scripts, routeFields, { disconnectSignal: gone.signal });
-  return { ...forwarded, time: performance.now() - leftAt };
+  if (disconnectAfter === 0) disconnectNow();
+  else setTimeout(disconnectNow, disconnectAfter);
+  const forwarded = await forward(scripts, routeFields, { disconnectSignal: disconnect.signal });
+  return { ...forwarded, time: performance.now() - disconnectedAt };
 }
 
 t.test('when the caller leaves, both calls under way end', async (t) => {
   const scripts: Script[] = ['hang', 'hang', 'hang'];
-  const { sink, engine, time } = await timeAfterLeaving(scripts, 90, { targetLatency: 100 });
+  const { sink, engine, time } = await timeAfterDisconnect(scripts, 90, { targetLatency: 100 });
   t.equal(engine.requests.length, 2);
   t.equal(engine.cancelled.length, 2);
   t.equal(sink.ending, 'open');
-  t.ok(time < LEAVING_BOUND, `ended after ${time} ms`);
+  t.ok(time < MAX_CANCEL_TIME, `ended after ${time} ms`);
 });
 
 t.test('when the caller leaves a stream, its run ends and no other begins', async (t) => {
   const stream = waitingStream('ab');
   const fields = { kind: 'streaming', resumable: true } as const;
-  const { engine, time } = await timeAfterLeaving([stream, 'hang'], 30, fields);
+  const { engine, time } = await timeAfterDisconnect([stream, 'hang'], 30, fields);
   t.equal(engine.requests.length, 1);
   t.ok(stream !== 'hang' && stream.kind === 'answered' && stream.body.destroyed);
-  t.ok(time < LEAVING_BOUND, `ended after ${time} ms`);
+  t.ok(time < MAX_CANCEL_TIME, `ended after ${time} ms`);
 });
 
 t.test('when the caller leaves between two workers, the second call ends', async (t) => {
   const first = brokenAnswer(events(0, 'ab'), { isStream: true });
   const fields = { kind: 'streaming', resumable: true } as const;
-  const { engine, time } = await timeAfterLeaving([first, 'hang', 'hang'], 60, fields);
+  const { engine, time } = await timeAfterDisconnect([first, 'hang', 'hang'], 60, fields);
   t.equal(engine.requests.length, 2);
   t.same(engine.cancelled, [engine.requests[1]?.worker.id]);
-  t.ok(time < LEAVING_BOUND, `ended after ${time} ms`);
+  t.ok(time < MAX_CANCEL_TIME, `ended after ${time} ms`);
 });
 
 t.test('for a caller that left before its request was read whole, nothing is sent', async (t) => {
   for (const kind of ['read-only', 'mutating', 'streaming'] as const) {
-    const { engine } = await timeAfterLeaving([answer('reply')], 0, { kind });
+    const { engine } = await timeAfterDisconnect([answer('reply')], 0, { kind });
     t.equal(engine.requests.length, 0, kind);
   }
 });
@@ -275,12 +275,12 @@
 t.test('a request counts once for its tenant when a worker may have begun it', async (t) => {
   const caller = { kind: 'tenant', tenant: NORTH } as const;
   const counts = async (scripts: Script[], routeFields: Partial<Route> = {}): Promise<number> =>
-    (await forward(scripts, routeFields, { caller })).begun.length;
+    (await forward(scripts, routeFields, { caller })).started.length;
   t.equal(await counts([answer('one')]), 1);
   t.equal(await counts([BROKEN, answer('one')]), 1, 'two runs are one request');
   t.equal(await counts([NOT_RUN, UNREACHED, NOT_RUN]), 0, 'what no worker began is not counted');
   t.equal(await counts([BROKEN], { kind: 'mutating' }), 1);
-  t.same((await forward([answer('one')])).begun, [], 'nobody to count for');
+  t.same((await forward([answer('one')])).started, [], 'nobody to count for');
 });
 
 t.test("a tenant's priority goes before the route's", async (t) => {
--- a/test/serving/request-quarantine.test.ts
+++ b/test/serving/request-quarantine.test.ts
@@ -12,7 +12,7 @@
 import { ManualClock } from '../jobs/job-fixtures.js';
 import { recordingLog, worker } from './serving-fixtures.js';
 
-function asked(path: string): FingerprintedRequest {
+function requestTo(path: string): FingerprintedRequest {
   const work = { method: 'POST', host: 'h', path, tenant: undefined, body: Buffer.from('b') };
   return new FingerprintedRequest(() => work);
 }
@@ -23,16 +23,16 @@
   readonly acquittals: string[] = [];
   readonly lines: readonly string[];
   readonly quarantine: RequestQuarantine;
-  questions = 0;
-  standing: WorkerLiveness = 'ended';
+  probes = 0;
+  liveness: WorkerLiveness = 'ended';
 
   constructor() {
     const { log, lines } = recordingLog();
     this.lines = lines;
     this.quarantine = new RequestQuarantine({
       probeLiveness: async () => {
-        this.questions += 1;
-        return this.standing;
+        this.probes += 1;
+        return this.liveness;
       },
       reportCrash: (report) => this.reports.push(report),
       reportAcquittal: (request) => this.acquittals.push(request),
@@ -43,43 +43,43 @@
   }
 
   /** Workers of these names end while the request is there. */
-  async endUnder(request: FingerprintedRequest, names: string[], next: NextSender = 'any-node') {
+  async crashUnder(request: FingerprintedRequest, names: string[], next: NextSender = 'any-node') {
     for (const name of names) await this.quarantine.noteBroken(worker(name), request, next);
   }
 }
 
 t.test('a request is refused once three workers ended under it', async (t) => {
   const fixture = new Fixture();
-  const request = asked('/x');
-  await fixture.endUnder(request, ['w1', 'w2']);
+  const request = requestTo('/x');
+  await fixture.crashUnder(request, ['w1', 'w2']);
   t.equal(fixture.quarantine.refusalOf(request), undefined);
-  await fixture.endUnder(request, ['w3']);
+  await fixture.crashUnder(request, ['w3']);
   t.equal(fixture.quarantine.refusalOf(request)?.kind, 'request_quarantined');
-  t.equal(fixture.quarantine.refusalOf(asked('/y')), undefined);
+  t.equal(fixture.quarantine.refusalOf(requestTo('/y')), undefined);
   t.ok(fixture.lines.some((line) => line.includes('"request-quarantined"')));
 });
 
 t.test('one worker counts once, however often it is told', async (t) => {
   const fixture = new Fixture();
-  const request = asked('/x');
-  await fixture.endUnder(request, ['w1', 'w1']);
+  const request = requestTo('/x');
+  await fixture.crashUnder(request, ['w1', 'w1']);
   fixture.quarantine.applyReport({ worker: 'w1', requests: [request.fingerprint] }, 0);
   t.equal(fixture.quarantine.crashesUnder(request).length, 1);
 });
 
 t.test('copies side by side count as ended where something speaks against it', async (t) => {
   const fixture = new Fixture();
-  const request = asked('/x');
+  const request = requestTo('/x');
   t.ok(fixture.quarantine.admits(request, 5), 'nothing does');
-  await fixture.endUnder(request, ['w1']);
+  await fixture.crashUnder(request, ['w1']);
   t.ok(fixture.quarantine.admits(request, MAX_CRASHED_WORKERS - 2));
   t.notOk(fixture.quarantine.admits(request, MAX_CRASHED_WORKERS - 1));
 });
 
 t.test('a broken connection counts until its worker has said that it lives', async (t) => {
   const fixture = new Fixture();
-  fixture.standing = 'lives';
-  const request = asked('/x');
+  fixture.liveness = 'lives';
+  const request = requestTo('/x');
   const verdict = fixture.quarantine.noteBroken(worker('w1'), request, 'any-node');
   t.equal(fixture.quarantine.crashesUnder(request).length, 1);
   await verdict;
@@ -88,17 +88,17 @@
 
 t.test('a worker that does not answer in time counts as ended', async (t) => {
   const fixture = new Fixture();
-  fixture.standing = 'unknown';
-  const request = asked('/x');
-  await fixture.endUnder(request, ['w1']);
+  fixture.liveness = 'unknown';
+  const request = requestTo('/x');
+  await fixture.crashUnder(request, ['w1']);
   t.equal(fixture.quarantine.crashesUnder(request).length, 1);
 });
 
 t.test('a worker is asked once for all requests that were there', async (t) => {
   const fixture = new Fixture();
-  const requests = ['/a', '/b', '/c', '/d'].map(asked);
-  await Promise.all(requests.map((request) => fixture.endUnder(request, ['w1'])));
-  t.equal(fixture.questions, 1);
+  const requests = ['/a', '/b', '/c', '/d'].map(requestTo);
+  await Promise.all(requests.map((request) => fixture.crashUnder(request, ['w1'])));
+  t.equal(fixture.probes, 1);
   await eventually(() => fixture.reports.length > 0);
   t.equal(fixture.reports.length, 1, 'and one report names all of them');
   t.equal(fixture.reports[0]?.requests.length, 4);
@@ -106,9 +106,9 @@
 
 t.test('what another worker answers soon is told to nobody', async (t) => {
   const fixture = new Fixture();
-  const [answered, unanswered] = [asked('/a'), asked('/b')];
-  await fixture.endUnder(answered, ['w1']);
-  await fixture.endUnder(unanswered, ['w1']);
+  const [answered, unanswered] = [requestTo('/a'), requestTo('/b')];
+  await fixture.crashUnder(answered, ['w1']);
+  await fixture.crashUnder(unanswered, ['w1']);
   fixture.quarantine.noteAnswered(answered);
   await eventually(() => fixture.reports.length > 0);
   t.same(fixture.reports, [{ worker: 'w1', requests: [unanswered.fingerprint] }]);
@@ -117,8 +117,8 @@
 
 t.test('an answer after the report takes it back everywhere', async (t) => {
   const fixture = new Fixture();
-  const request = asked('/x');
-  await fixture.endUnder(request, ['w1', 'w2']);
+  const request = requestTo('/x');
+  await fixture.crashUnder(request, ['w1', 'w2']);
   await eventually(() => fixture.reports.length === 2);
   fixture.quarantine.noteAnswered(request);
   t.same(fixture.acquittals, [request.fingerprint]);
@@ -131,11 +131,11 @@
   'what one node alone sends is told with its second end, and the first with it',
   async (t) => {
     const fixture = new Fixture();
-    const request = asked('/x');
-    await fixture.endUnder(request, ['w1'], 'this-node');
+    const request = requestTo('/x');
+    await fixture.crashUnder(request, ['w1'], 'this-node');
     await new Promise((resolve) => setTimeout(resolve, 100));
     t.equal(fixture.reports.length, 0);
-    await fixture.endUnder(request, ['w2'], 'this-node');
+    await fixture.crashUnder(request, ['w2'], 'this-node');
     await eventually(() => fixture.reports.length === 2);
     t.same(fixture.reports.map((report) => report.worker).sort(), ['w1', 'w2']);
   },
@@ -145,26 +145,26 @@
   'a request that was given up is looked into where something speaks against it',
   async (t) => {
     const fixture = new Fixture();
-    const request = asked('/x');
-    fixture.quarantine.noteGivenUp(worker('w1'), request);
+    const request = requestTo('/x');
+    fixture.quarantine.noteCancelled(worker('w1'), request);
     await new Promise((resolve) => setTimeout(resolve, 300));
-    t.equal(fixture.questions, 0);
-    await fixture.endUnder(request, ['w1']);
-    fixture.quarantine.noteGivenUp(worker('w2'), request);
+    t.equal(fixture.probes, 0);
+    await fixture.crashUnder(request, ['w1']);
+    fixture.quarantine.noteCancelled(worker('w2'), request);
     await eventually(() => fixture.quarantine.crashesUnder(request).length === 2);
-    fixture.standing = 'lives';
-    fixture.quarantine.noteGivenUp(worker('w3'), request);
-    await eventually(() => fixture.questions === 3);
+    fixture.liveness = 'lives';
+    fixture.quarantine.noteCancelled(worker('w3'), request);
+    await eventually(() => fixture.probes === 3);
     t.equal(fixture.quarantine.crashesUnder(request).length, 2);
   },
 );
 
 t.test('evidence grows old, and the refusal tells when', async (t) => {
   const fixture = new Fixture();
-  const request = asked('/x');
-  await fixture.endUnder(request, ['w1']);
+  const request = requestTo('/x');
+  await fixture.crashUnder(request, ['w1']);
   fixture.clock.time += 5_000;
-  await fixture.endUnder(request, ['w2', 'w3']);
+  await fixture.crashUnder(request, ['w2', 'w3']);
   const retryAfter = fixture.quarantine.refusalOf(request)?.retryAfter ?? 0;
   t.equal(retryAfter, EVIDENCE_LIFETIME - 5_000);
   fixture.clock.time += retryAfter + 1;
@@ -195,7 +195,7 @@
 
 t.test('three lives of one worker that end under a request count as three', async (t) => {
   const fixture = new Fixture();
-  const request = asked('/x');
+  const request = requestTo('/x');
   for (const startedAt of [1_000, 2_000, 3_000]) {
     t.equal(fixture.quarantine.refusalOf(request), undefined);
     await fixture.quarantine.noteBroken(worker('w1', { startedAt }), request, 'any-node');
--- a/test/serving/serving-fixtures.ts
+++ b/test/serving/serving-fixtures.ts
@@ -157,10 +157,10 @@
       setImmediate(() => {
         signal.removeEventListener('abort', cancel);
         // As at a real worker, ending the request breaks its answer off.
-        const breakOff = (): void => {
+        const abortAnswer = (): void => {
           if (script.kind === 'answered') script.body.destroy(new Error('cancelled'));
         };
-        signal.addEventListener('abort', breakOff);
+        signal.addEventListener('abort', abortAnswer);
         resolve(script);
       });
     });
@@ -190,10 +190,10 @@
 
 /** A quarantine of a node that is alone; all workers live unless it is told otherwise. */
 export function quarantine(
-  standingOf: (worker: WorkerRecord) => Promise<WorkerLiveness> = async () => 'lives',
+  probeLiveness: (worker: WorkerRecord) => Promise<WorkerLiveness> = async () => 'lives',
 ): RequestQuarantine {
   return new RequestQuarantine({
-    probeLiveness: standingOf,
+    probeLiveness: probeLiveness,
     reportCrash: () => {},
     reportAcquittal: () => {},
     clock: PROCESS_CLOCK,
--- a/test/serving/start-gate.test.ts
+++ b/test/serving/start-gate.test.ts
@@ -15,18 +15,18 @@
   startWaitOf,
 } from '../../src/serving/start-gate.js';
 
-const NEVER_GONE = new AbortController().signal;
+const NEVER_ABORTED = new AbortController().signal;
 
 t.test('what came before the node could serve goes on when it can', async (t) => {
   const gate = new StartGate();
   const startedAt = performance.now();
-  const waits = Array.from({ length: 20 }, () => gate.wait(1_500, NEVER_GONE));
+  const waits = Array.from({ length: 20 }, () => gate.wait(1_500, NEVER_ABORTED));
   t.equal(gate.waiting, 20);
   setTimeout(() => gate.open(), 50);
   await Promise.all(waits);
   t.ok(performance.now() - startedAt < startWaitOf(1_500));
   t.equal(gate.waiting, 0);
-  await gate.wait(1_500, NEVER_GONE);
+  await gate.wait(1_500, NEVER_ABORTED);
   t.equal(gate.waiting, 0, 'nothing waits once it is open');
 });
 
@@ -38,7 +38,7 @@
     t.equal(startWaitOf(60_000), MAX_START_WAIT);
     const gate = new StartGate();
     const startedAt = performance.now();
-    await gate.wait(100, NEVER_GONE);
+    await gate.wait(100, NEVER_ABORTED);
     const waited = performance.now() - startedAt;
     t.ok(waited >= 39 && waited < 400, `${waited} ms`);
   },
@@ -52,8 +52,8 @@
   await left;
   await gate.wait(60_000, gone.signal);
   t.equal(gate.waiting, 0);
-  const held = Array.from({ length: MAX_HELD_REQUESTS }, () => gate.wait(60_000, NEVER_GONE));
-  await gate.wait(60_000, NEVER_GONE);
+  const held = Array.from({ length: MAX_HELD_REQUESTS }, () => gate.wait(60_000, NEVER_ABORTED));
+  await gate.wait(60_000, NEVER_ABORTED);
   t.equal(gate.waiting, MAX_HELD_REQUESTS);
   gate.open();
   await Promise.all(held);
@@ -65,9 +65,9 @@
   let served = 0;
   let refused = 0;
   for (let caller = 0; caller < 500; caller += 1) {
-    const patience = 1_500;
+    const timeout = 1_500;
     let now = (caller * 37) % 500;
-    const end = now + patience;
+    const end = now + timeout;
     let isServed = false;
     for (let attempt = 0; attempt < 2 && !isServed; attempt += 1) {
       const ready = readyAfter[(caller * 7 + attempt * 31) % readyAfter.length] ?? 0;
