--- a/src/jobs/item-dispatcher.ts
+++ b/src/jobs/item-dispatcher.ts
@@ -1,4 +1,4 @@
-/** Sends the items of all jobs that this node runs to workers, and takes in how the runs end. */
+/** Dispatches items of the jobs that this node owns to workers and handles the outcomes of their runs. */
 
 import type { Milliseconds } from '../core/units.js';
 import type { AllowedRegions } from '../placement/allowed-regions.js';
@@ -22,39 +22,39 @@
   /** The routes in force; `undefined` before the first configuration. */
   readonly routes: () => RouteMatcher | undefined;
   /**
-   * Whether the store answers nobody here: then no other node can have ended a job by it, and items
-   * go on.
+   * Whether the store answers no node here. No job can be cancelled through it then, so items of
+   * jobs with unconfirmed ownership are still sent.
    */
   readonly isStoreUnreachable: () => boolean;
-  /** What the way to a worker of a zone costs. @default all workers are as near */
+  /** Distance cost of sending to a worker in a zone. @default no zone has a cost */
   readonly distanceCost?: DistanceCost | undefined;
 }
 
-/** Silence after which a run is given up. Loading weights may pause a worker for a second. */
+/** Idle timeouts of a run. A worker may pause its streams for a second while it loads weights. */
 const SILENCE = { beforeFirst: 2_500, betweenEvents: 2_000 } as const;
 
-/** Items may be given up after the route's time; clocks of machines differ, so it is exceeded. */
+/** Added to the route's queue limit before items are terminated, since machine clocks differ. */
 const GIVE_UP_MARGIN: Milliseconds = 10_000;
 
-/** Pause before an item is sent again. */
+/** Delay before an item is retried after an interrupted run. */
 const RETRY_PAUSE: Milliseconds = 40;
-/** The worker that refused is passed over meanwhile; others are asked soon. */
+/** Short, because the worker that rejected the item is skipped and another one is tried. */
 const FULL_PAUSE: Milliseconds = 10;
 const FAILED_ATTEMPT_PAUSE: Milliseconds = 100;
 
 /**
- * Time between two runs of an item under which as many workers ended as may end under a request. An
- * item of an open step is not left without a run for 5 s, as it can't be given up before its time.
+ * Delay between runs of an item once its runs have crashed as many workers as one request may
+ * crash. Below 5 s, because an item of an open step must not go that long without a run.
  */
 const SUSPECT_PAUSE: Milliseconds = 4_500;
 
-/** Workers that may end under an item: as many again as under a request that is refused at once. */
+/** Worker crashes after which an item is never sent again. */
 const MOST_ENDED_UNDER_ITEM = 2 * MAX_CRASHED_WORKERS;
 
-/** Sends items to workers. */
+/** Dispatches items to workers, moves slow runs and requests scores. */
 export class ItemDispatcher {
   private readonly jobs = new Set<OwnedJob>();
-  /** Life of a worker that read the shared prompt of a group last, by job and group. */
+  /** Worker incarnation that last read the shared prompt of a group, by job and group. */
   private readonly promptWorkers = new Map<string, KnownWorker>();
   private readonly runContext: ItemRunContext;
   private readonly scorer: ItemScorer;
@@ -69,18 +69,18 @@
     this.scorer = new ItemScorer({ ...options, ended: () => this.schedule() });
   }
 
-  /** Takes in a job whose items are to be run. */
+  /** Registers a job and schedules dispatching of its items. */
   add(job: OwnedJob): void {
     this.jobs.add(job);
     this.schedule();
   }
 
-  /** Sends nothing more. */
+  /** Stops dispatching; runs in progress continue. */
   stop(): void {
     this.isStopped = true;
   }
 
-  /** Looks for items to send soon; many calls in a row cost one look. */
+  /** Schedules a dispatch pass for the next event loop turn; repeated calls are coalesced. */
   schedule(): void {
     if (this.isScheduled || this.isStopped) return;
     this.isScheduled = true;
@@ -90,7 +90,7 @@
     });
   }
 
-  /** Runs under way. */
+  /** Number of runs in progress. */
   get running(): number {
     let count = 0;
     for (const job of this.jobs) {
@@ -99,7 +99,7 @@
     return count;
   }
 
-  /** Regular work: what is overdue is sent, given up or moved. */
+  /** Periodic work: terminates expired items, moves runs and dispatches waiting items. */
   tick(): void {
     this.dropClosedJobs();
     for (const job of this.jobs) this.giveUpExpired(job);
@@ -159,7 +159,7 @@
     return new PlacementRound(registry.available(service), now, wayCost, registry.rules);
   }
 
-  /** The worker that keeps a group's prompt; one that has started anew has not read it. */
+  /** The worker that cached a group's prompt; `undefined` if that worker has restarted since. */
   private promptWorkerOf(groupKey: string): string | undefined {
     const worker = this.promptWorkers.get(groupKey);
     if (worker === undefined) return undefined;
@@ -205,7 +205,7 @@
     this.schedule();
   }
 
-  /** Whether an item has to wait, or is sent no more, since workers ended under it. */
+  /** Whether an item is delayed or excluded from dispatch because its runs crashed workers. */
   private isHeldBack(entry: OwnedItem, now: Milliseconds): boolean {
     const ends = this.options.quarantine.crashesUnder(entry.asked);
     if (ends.length < MAX_CRASHED_WORKERS) return false;
@@ -259,7 +259,7 @@
   }
 }
 
-/** Items that were begun go on first, then the longest. */
+/** Orders items that already have events first, then by descending expected length. */
 function byUrgency(left: OwnedItem, right: OwnedItem): number {
   const begun = Number(right.progress.eventCount > 0) - Number(left.progress.eventCount > 0);
   return begun === 0 ? right.item.expectedLength - left.item.expectedLength : begun;
--- a/src/jobs/item-placement.ts
+++ b/src/jobs/item-placement.ts
@@ -1,7 +1,4 @@
-/**
- * Which item goes to which worker next. Earlier jobs go first; within a job the longest items, as
- * the trainer waits for nearly all of them and a long one that begins late holds up its step.
- */
+/** Scores how well a worker suits an item, by event interval, occupancy and shared prompts. */
 import type { ModelName } from '../core/identity.js';
 import type { Milliseconds, WeightVersion } from '../core/units.js';
 import type { AllowedRegions } from '../placement/allowed-regions.js';
@@ -9,41 +6,41 @@
 import type { OwnedItem } from './owned-item.js';
 import type { OwnedJob } from './owned-job.js';
 
-/** What a worker must offer for an item. */
+/** Requirements of an item's next run on its worker. */
 export interface ItemNeeds {
   readonly model: ModelName;
   readonly minVersion: WeightVersion;
-  /** How long the item is expected to run, against the mean of its job. */
+  /** Expected length divided by the mean expected length of the job's items. */
   readonly relativeLength: number;
-  /** The only version that fits, where events exist that must not be mixed. */
+  /** The version of the item's existing events if versions must not be mixed. */
   readonly boundVersion: WeightVersion | undefined;
-  /** Regions whose workers may run it. @default any */
+  /** Regions whose workers may run the item. @default any */
   readonly allowedRegions?: AllowedRegions;
 }
 
-/** Weight of a worker's occupied share beside its pace, in multiples of the median pace. */
+/** Weight of a worker's occupied share, in multiples of the median event interval. */
 const OCCUPANCY_WEIGHT = 0.6;
 
 /**
- * A slow worker costs a long item seconds and a short one little, so the pace weighs by the item's
- * length, within these limits: guesses of lengths are often far off.
+ * Bounds of the length weight. The event interval is weighted by the item's expected length, because
+ * a slow worker delays long items most; the weight is bounded because lengths are rough estimates.
  */
 const LEAST_LENGTH_WEIGHT = 0.25;
 const LARGEST_LENGTH_WEIGHT = 4;
 
-/** An item that goes on after a break was mostly a long one: it counts as this many means at least. */
+/** Minimum relative length of a resumed item, because mostly long items are interrupted. */
 const RESUMED_LENGTH = 3;
 
-/** Gain of a worker that has read the group's shared prompt. */
+/** Score reduction for the worker that has cached the group's shared prompt. */
 const SHARED_PROMPT_GAIN = 0.15;
 
-/** A worker counts as slow if its pace is this many times the median. */
+/** Ratio of a worker's event interval to the median above which the worker counts as slow. */
 const SLOW_PACE_RATIO = 1.7;
 
-/** A worker counts as faster than another if the other's pace is this many times its own. */
+/** Minimum ratio of two workers' event intervals for one to count as faster. */
 const FASTER_PACE_RATIO = 1.15;
 
-/** What the next run of an item needs. */
+/** Requirements of the next run of an item. */
 export function needsOf(
   job: OwnedJob,
   { item, progress }: OwnedItem,
@@ -56,7 +53,7 @@
   return { model, minVersion, relativeLength, boundVersion, allowedRegions };
 }
 
-/** Whether a worker may run an item now. */
+/** Whether a worker has a free slot and suitable weights for an item. */
 export function mayRun(worker: KnownWorker, needs: ItemNeeds, now: Milliseconds): boolean {
   if (!worker.hasFreeSlot(now) || worker.isLoading(needs.model, now)) return false;
   const version = worker.versionOf(needs.model);
@@ -64,25 +61,25 @@
   return needs.boundVersion === undefined || version === needs.boundVersion;
 }
 
-/** Median pace of the workers that have one; 1 where none has. */
+/** Median event interval of the workers with a measured one; 1 if there are none. */
 export function medianPace(workers: readonly KnownWorker[]): Milliseconds {
   const paces = workers.map((worker) => worker.eventInterval).filter((pace) => pace !== undefined);
   paces.sort((left, right) => left - right);
   return paces[Math.floor(paces.length / 2)] ?? 1;
 }
 
-/** Whether a worker makes events much more slowly than most. */
+/** Whether a worker generates events much more slowly than the median. */
 export function isSlow(worker: KnownWorker, median: Milliseconds): boolean {
   return worker.eventInterval !== undefined && worker.eventInterval > SLOW_PACE_RATIO * median;
 }
 
-/** Whether a worker makes events so much faster than another that a long run should move there. */
+/** Whether a worker is enough faster than another to justify moving a long run to it. */
 export function isFaster(worker: KnownWorker, than: KnownWorker): boolean {
   if (worker.eventInterval === undefined || than.eventInterval === undefined) return false;
   return worker.eventInterval * FASTER_PACE_RATIO <= than.eventInterval;
 }
 
-/** How little a worker suits an item: the least is the best. */
+/** Returns the scoring function of an item; the worker with the lowest score suits it best. */
 export function placementScore(
   needs: ItemNeeds,
   median: Milliseconds,
--- a/src/jobs/item-run.ts
+++ b/src/jobs/item-run.ts
@@ -1,4 +1,4 @@
-/** One run of an item at one worker, from sending the request to the end of its stream. */
+/** One run of an item on one worker, from sending the request to the end of its stream. */
 
 import type { Milliseconds } from '../core/units.js';
 import type { Clock } from '../serving/clock.js';
@@ -15,31 +15,31 @@
   | 'attempt-failed'
   /** The worker answered that the item can never be done. */
   | 'impossible'
-  /** The worker did not begin; it is full, or gone. */
+  /** The worker did not start the run; it is full, or unreachable. */
   | 'full'
   | 'gone'
-  /** It was not sent: a rule keeps work from the worker. */
+  /** The request was not sent, because a send rule excludes the worker. */
   | 'withheld'
-  /** It broke off, fell silent or sent wrong bytes; what came whole is kept. */
+  /** The stream broke, idled too long or was malformed; its complete events are kept. */
   | 'interrupted'
-  /** Its weights are older than the job allows. */
+  /** The worker's weights are older than the job allows. */
   | 'version-too-old'
-  /** Ended from here: moved, cancelled or handed over. */
+  /** This node cancelled the run: it was moved, or its job was cancelled or transferred. */
   | 'cancelled';
 
-/** Silence after which a run is given up: before the first event, and between two. */
+/** Idle timeouts after which a run is aborted: before the first byte, and between chunks. */
 export interface SilenceLimits {
   readonly beforeFirst: Milliseconds;
   readonly betweenEvents: Milliseconds;
 }
 
 /**
- * Pauses after which a run counts as stalled: a worker that loads weights holds its streams up
- * for most of a second, while going on elsewhere costs some milliseconds.
+ * Pauses after which a run counts as stalled. A worker that loads weights pauses its streams for
+ * most of a second, while resuming on another worker takes a few milliseconds.
  */
 const STALL = { beforeFirst: 600, betweenEvents: 300, paces: 5 } as const;
 
-/** What a run works with. */
+/** Dependencies and limits of a run. */
 export interface ItemRunContext {
   readonly engine: EnginePort;
   readonly clock: Clock;
@@ -51,7 +51,7 @@
 const UNPROCESSABLE = 422;
 const SERVER_ERROR = 500;
 
-/** Runs an item once; adds whole events to its progress as they come. */
+/** Runs an item once; adds complete events to its progress as they arrive. */
 export class ItemRun {
   private readonly abort = new AbortController();
   private readonly context: ItemRunContext;
@@ -60,9 +60,9 @@
   private heardAt: Milliseconds;
   private lastEventAt: Milliseconds | undefined;
   readonly startedAt: Milliseconds;
-  /** Whether its connection broke, from whichever side but this one. */
+  /** Whether the connection broke, other than by cancellation from this node. */
   wasBroken = false;
-  /** Whether a byte of an answer has come. */
+  /** Whether any byte of a response body has arrived. */
   hasBegun = false;
 
   constructor(
@@ -75,19 +75,19 @@
     this.heardAt = this.startedAt;
   }
 
-  /** Ends the run from here; the worker drops the request as its connection closes. */
+  /** Cancels the run; the worker drops the request when the connection closes. */
   cancel(): void {
     this.abort.abort();
   }
 
-  /** Whether its stream has paused for so long that another worker would go on sooner. */
+  /** Whether the stream has paused so long that resuming on another worker would be faster. */
   isStalled(now: Milliseconds): boolean {
     const silence = now - this.heardAt;
     if (!this.hasBegun) return silence > STALL.beforeFirst;
     return silence > Math.max(STALL.betweenEvents, STALL.paces * (this.worker.eventInterval ?? 0));
   }
 
-  /** Sends the request and follows its stream; never rejects. */
+  /** Sends the request and reads its stream; never rejects. */
   async perform(request: EngineRequest): Promise<ItemRunEnd> {
     this.watchSilence(this.context.silence.beforeFirst);
     const outcome = await this.context.engine.send(request, this.abort.signal);
@@ -135,13 +135,13 @@
     this.heardAt = this.context.clock.now();
   }
 
-  /** Adds the events that a chunk completes; tells how the run ends where one does not fit. */
+  /** Adds the events that a chunk completes; returns how the run ends if one is not acceptable. */
   private takeEvents(reader: EventStreamReader, chunk: Buffer): ItemRunEnd | undefined {
     let events: readonly StreamEvent[];
     try {
       events = reader.push(chunk);
     } catch {
-      // Bytes that are no event stream: what came before them is kept.
+      // Malformed event stream: the events before the malformed bytes are kept.
       return 'interrupted';
     }
     if (events.length === 0) return undefined;
--- a/src/jobs/item-scorer.ts
+++ b/src/jobs/item-scorer.ts
@@ -1,8 +1,8 @@
 /**
- * Asks for the scores of items whose texts are whole. A score request goes by the route of its own
- * host and path, under its own id, and may be repeated: it goes to another worker when one fails,
- * and to a second one beside the first when the answer is late by what was observed of the
- * service. Its service is shared with interactive requests, so a part of each worker is left to them.
+ * Requests scores for items whose texts are complete. A score request is routed by its own host and
+ * path and is idempotent: it is retried on another worker after a failure and hedged on a second
+ * worker when it exceeds the service's latency estimate. Part of each worker's slots is reserved for
+ * interactive requests.
  */
 import type { Milliseconds } from '../core/units.js';
 import { type AllowedRegions, allowedByBoth } from '../placement/allowed-regions.js';
@@ -20,45 +20,45 @@
 
 /** Options of {@link ItemScorer}. */
 export interface ItemScorerOptions extends ItemDispatcherOptions {
-  /** Called after a call has ended, so that the next is sent soon. */
+  /** Called after a score call ends. */
   readonly ended: () => void;
 }
 
-/** Share of a worker's places beyond which it is sent no score request. */
+/** Share of a worker's slots that score requests may fill. */
 const PLACES_SHARE = 0.75;
 
-/** Calls for one item at a time. */
+/** Concurrent calls for one item. */
 const MOST_CALLS = 2;
 
-/** Pause before a request is sent again: after a refusal, and after a failure. */
+/** Retry delays after a rejection and after a failure. */
 const FULL_PAUSE: Milliseconds = 60;
 const FAILURE_PAUSE: Milliseconds = 30;
 
-/** Least time that a score request gives its worker. */
+/** Minimum time budget that a score request gives its worker. */
 const LEAST_TIME: Milliseconds = 1_000;
 
 const SERVER_ERROR = 500;
 
-/** What a call came to. */
+/** Outcome of a score call. */
 type ScoreOutcome =
   | { readonly kind: 'scored'; readonly score: string }
   | { readonly kind: 'attempt-failed' | 'refused' | 'broken' | 'failed' | 'cancelled' };
 
-/** One item on its way to its score. */
+/** An item that awaits its score. */
 interface UnscoredItem {
   readonly job: OwnedJob;
   readonly entry: OwnedItem;
   readonly request: ScoreRequest;
 }
 
-/** Sends score requests for the jobs of one node. */
+/** Sends score requests for the jobs that this node owns. */
 export class ItemScorer {
-  /** By the name of the route. */
+  /** Latency estimates by route name. */
   private readonly estimates = new Map<string, LatencyEstimate>();
 
   constructor(private readonly options: ItemScorerOptions) {}
 
-  /** Sends what is due, items of nearly whole groups first. */
+  /** Sends due score requests, starting with the groups that lack the fewest results. */
   dispatch(jobs: readonly OwnedJob[], routes: RouteMatcher): void {
     const due = jobs.flatMap((job) => (job.isOpen ? unscoredItems(job) : []));
     for (const item of due) this.send(item, routes);
@@ -82,7 +82,7 @@
     if (worker !== undefined) void this.ask(item, scoring, route, worker, allowed);
   }
 
-  /** A worker with room beside what it leaves to others, one not asked before if possible. */
+  /** Selects a worker below the slot share for scores, preferring one not tried before. */
   private choose(
     service: ServiceName,
     scoring: ItemScoring,
@@ -158,7 +158,7 @@
     return read;
   }
 
-  /** All calls for the items of a job end at the same time: when these may be given up. */
+  /** Time until the items of the job expire; all score calls of the job share this deadline. */
   private timeLeft(job: OwnedJob): Milliseconds {
     const { spec } = job;
     const maxQueue = this.options.routes()?.match(spec.host, spec.path)?.maxQueue ?? 0;
@@ -216,7 +216,7 @@
   }
 }
 
-/** A score request carries what an item made: it stays where both of their routes allow it. */
+/** A score request carries the item's text, so both routes' region restrictions apply. */
 function allowedRegionsOf(
   { job, entry }: UnscoredItem,
   route: Route,
@@ -242,7 +242,7 @@
   return status >= 200 && status < 300;
 }
 
-/** A job's items that lack their scores, those first whose groups lack the fewest results. */
+/** A job's unscored items, ordered by how few results their groups lack. */
 function unscoredItems(job: OwnedJob): UnscoredItem[] {
   const unscored = job.unscored();
   if (unscored.length === 0) return [];
--- a/src/jobs/item-scoring.ts
+++ b/src/jobs/item-scoring.ts
@@ -1,17 +1,17 @@
-/** The calls for the score of one item, at one or two workers at a time. */
+/** Tracks the concurrent calls for the score of one item. */
 import type { Milliseconds } from '../core/units.js';
 import { FingerprintedRequest } from '../serving/request-fingerprint.js';
 import type { ScoreRequest } from './job-records.js';
 
-/** The state of an item's calls for its score. */
+/** State of an item's score calls. */
 export class ItemScoring {
-  /** Workers that were asked; another one is asked first where there is one. */
+  /** Ids of the workers already called; untried workers are preferred. */
   readonly tried = new Set<string>();
-  /** Answers that said the attempt failed. */
+  /** Number of responses that reported a failed attempt. */
   failedAttempts = 0;
-  /** Nothing is sent before this time. */
+  /** Earliest time of the next call. */
   notBefore: Milliseconds = 0;
-  /** What the calls ask of workers. */
+  /** The request that the calls send, for crash attribution. */
   readonly asked: FingerprintedRequest;
   private readonly calls = new Map<AbortController, Milliseconds>();
 
@@ -25,17 +25,17 @@
     }));
   }
 
-  /** Calls under way. */
+  /** Number of calls in progress. */
   get callsUnderWay(): number {
     return this.calls.size;
   }
 
-  /** When the youngest call under way was sent. */
+  /** When the most recent call in progress was sent; -Infinity if there is none. */
   get lastSentAt(): Milliseconds {
     return Math.max(Number.NEGATIVE_INFINITY, ...this.calls.values());
   }
 
-  /** Begins a call at a worker; the signal ends it. */
+  /** Registers a call to a worker; aborting the returned controller cancels the call. */
   begin(worker: string, now: Milliseconds): AbortController {
     const call = new AbortController();
     this.calls.set(call, now);
@@ -43,17 +43,17 @@
     return call;
   }
 
-  /** A call has ended. */
+  /** Removes a completed call. */
   end(call: AbortController): void {
     this.calls.delete(call);
   }
 
-  /** Ends all calls from here; the workers drop them as their connections close. */
+  /** Cancels all calls; workers drop them when their connections close. */
   cancel(): void {
     for (const call of this.calls.keys()) call.abort();
   }
 
-  /** Ends calls that were sent before a time. */
+  /** Cancels calls that were sent before a time. */
   cancelOlderThan(time: Milliseconds): void {
     for (const [call, sentAt] of this.calls) if (sentAt < time) call.abort();
   }
--- a/src/jobs/item-work-cache.ts
+++ b/src/jobs/item-work-cache.ts
@@ -1,7 +1,7 @@
 /**
- * Work on items whose job ended before their group was whole. A trainer may bring such a group
- * back with a later job, under the same ids; what was made of it is then taken over, if its
- * weights fit the later job.
+ * Caches work on items whose job was cancelled before their group was completed. A trainer may
+ * submit such a group again in a later job under the same ids; the cached work is then reused if its
+ * weight versions fit.
  */
 import { contentDigest } from '../core/hashing.js';
 import type { Milliseconds } from '../core/units.js';
@@ -11,39 +11,39 @@
 import type { JobItem, JobResult } from './job-records.js';
 import type { OwnedJob } from './owned-job.js';
 
-/** What is kept of one item. */
+/** Progress or result of one item. */
 export type ItemWork =
   | { readonly kind: 'unfinished'; readonly progress: KeptItem }
   | { readonly kind: 'finished'; readonly result: JobResult };
 
-/** Kept work with the digests of what was asked. */
+/** Work on an item with digests of the requests that it answers. */
 export interface DigestedWork {
   readonly work: ItemWork;
-  /** Of headers and body, so that an id that is used for something else is not mistaken. */
+  /** Digest of headers and body, to detect an id that was reused for another request. */
   readonly digest: string;
-  /** Of the request for the score: a score is the answer to that request alone. */
+  /** Digest of the score request; a score is valid only for the same request. */
   readonly scoreDigest: string;
 }
 
-/** Time for which work is kept; a trainer brings a group back with its next steps. */
+/** Time for which work is cached; a trainer resubmits a group with one of its next steps. */
 const KEEP_TIME: Milliseconds = 20_000;
 
-/** Items kept at most; the oldest go first. */
+/** Maximum number of cached items; the oldest are evicted first. */
 const MOST_ITEMS = 4_000;
 
 interface Entry extends DigestedWork {
   readonly keptAt: Milliseconds;
-  /** What tells in which regions it may lie. */
+  /** Determines the regions that may store the work. */
   readonly origin: JobOrigin;
 }
 
-/** Keeps work by item id. */
+/** Caches work by item id. */
 export class ItemWorkCache {
   private readonly entries = new Map<string, Entry>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** Keeps what a closed job made of the groups that are not whole. */
+  /** Caches a closed job's work on groups that are not completed. */
   keep(job: OwnedJob, origin: JobOrigin = {}): void {
     const results = new Map(job.finishedResults().map((result) => [result.id, result]));
     const progress = job.keptProgress();
@@ -57,13 +57,13 @@
     this.dropOld();
   }
 
-  /** What is kept of an item; a digest of the request must agree. */
+  /** Finds work on an item; its request digest must match. */
   find(item: JobItem): ItemWork | undefined {
     const entry = this.findById(item.id);
     return entry === undefined ? undefined : workFor(entry, item);
   }
 
-  /** What is kept under an id, for another node, if that one may be told. */
+  /** Finds work by item id for another node, if `mayTell` permits its origin. */
   findById(
     id: string,
     mayTell: (origin: JobOrigin) => boolean = () => true,
@@ -89,12 +89,12 @@
   }
 }
 
-/** Work on an item with the digests of what was asked. */
+/** Adds the digests of the item's requests to work on it. */
 export function digested(work: ItemWork, item: JobItem): DigestedWork {
   return { work, digest: digestOf(item), scoreDigest: scoreDigestOf(item) };
 }
 
-/** How far work on an item got, to compare with other work on it. */
+/** Number of events, to compare the progress of work; infinite for a complete text. */
 export function extentOf(work: ItemWork | undefined): number {
   if (work === undefined) return 0;
   if (work.kind === 'finished' || work.progress.isWhole === true) return Number.POSITIVE_INFINITY;
@@ -102,8 +102,8 @@
 }
 
 /**
- * What kept work is worth to an item: nothing if it was another request; the text alone, to be
- * scored anew, if the score was asked for by another request.
+ * The part of cached work that an item can reuse: nothing if the request differs; only the text, to
+ * be scored again, if the score request differs.
  */
 export function workFor(kept: DigestedWork, item: JobItem): ItemWork | undefined {
   if (kept.digest !== digestOf(item)) return undefined;
@@ -112,7 +112,7 @@
   return { kind: 'unfinished', progress: unscoredText(work.result) };
 }
 
-/** A whole text as kept progress; it is never continued, so its number of events is of no use. */
+/** A complete text as progress; it is never resumed, so its event count does not matter. */
 function unscoredText({ text, versions }: JobResult): KeptItem {
   return { events: [text], lastEventId: 0, versions, isWhole: true };
 }
--- a/src/jobs/job-admission.ts
+++ b/src/jobs/job-admission.ts
@@ -1,7 +1,4 @@
-/**
- * A job on its way in at the gateway that its caller connected to: another node takes it in, this one
- * does, or it is refused.
- */
+/** Admits a submitted job: forwards it to another node, accepts it on this one, or rejects it. */
 import { type Failure, failure } from '../errors/error-kinds.js';
 import type { DecisionLog } from '../telemetry/decision-log.js';
 import type { FleetMetrics } from '../telemetry/fleet-metrics.js';
@@ -22,14 +19,14 @@
   readonly metrics: FleetMetrics;
 }
 
-/** What is told of a job where it is not sure that no node has taken it. */
+/** Response to a rejected submission if another node may have accepted the job. */
 const MAY_BE_TAKEN = { kind: 'outcome_unknown', retryAfter: STORE_RETRY_AFTER } as const;
 
-/** Lets jobs in. */
+/** Admits submitted jobs. */
 export class JobAdmission {
   constructor(private readonly options: JobAdmissionOptions) {}
 
-  /** Has a job taken in; `undefined` means that all of it is kept from now on. */
+  /** Has a job accepted; `undefined` means that the job is durably stored. */
   async submit(spec: JobSpecification, wanted: StillWanted): Promise<Failure | undefined> {
     const { peers, submissions } = this.options;
     const path = await peers.submitElsewhere(spec);
@@ -41,8 +38,8 @@
   }
 
   /**
-   * The answer to a job that none of the nodes that may hold it takes. Its caller may repeat what
-   * another node took in before: that it has not run is told only where that is sure.
+   * Response to a job that no eligible node accepts. The submission may repeat one that another node
+   * accepted earlier, so the response says that the job has not run only if it is certainly absent.
    */
   private async refuse(spec: JobSpecification, refusal: Failure): Promise<Failure | undefined> {
     const { store, reader, log, metrics } = this.options;
--- a/src/jobs/job-handover.ts
+++ b/src/jobs/job-handover.ts
@@ -1,4 +1,4 @@
-/** How jobs pass from node to node: taken over, released and offered, taken when offered. */
+/** Changes the owner of jobs: takes over, releases and offers them, and accepts offered ones. */
 import type { JobJournal } from '../journal/job-journal.js';
 import type { JournalEntry } from '../journal/journal-entries.js';
 import { FIRST_TERM, type ZoneJournals } from '../journal/zone-journals.js';
@@ -15,7 +15,7 @@
 import type { OwnedJobs } from './owned-jobs.js';
 import { untilAvailable } from './store-reads.js';
 
-/** A journal that this node alone may write to, and what it held. */
+/** A journal that only this node may write to, and its entries. */
 interface ClaimedJournal {
   readonly journal: JobJournal;
   readonly entries: readonly JournalEntry[];
@@ -30,26 +30,26 @@
   readonly log: DecisionLog;
   readonly metrics: FleetMetrics;
   readonly self: JobOwner;
-  /** The zones' journals, where zones serve their own callers. */
+  /** The zones' journals, if zones accept jobs without the store. */
   readonly journals?: ZoneJournals | undefined;
   readonly residency: JobResidency;
 }
 
-/** Passes jobs on. */
+/** Takes over jobs from other owners and transfers own jobs to other nodes. */
 export class JobHandover {
   private readonly adopting = new Set<string>();
   private isMoving = false;
 
   constructor(private readonly options: JobHandoverOptions) {}
 
-  /** Whether a job is being taken over here. */
+  /** Whether this node is taking over a job. */
   isAdopting(job: string): boolean {
     return this.adopting.has(job);
   }
 
   /**
-   * Takes over a job once at a time; tells whether it is run here now. An owner that answers is asked
-   * for what it made of the items and has not listed.
+   * Takes over a job; returns whether this node owns it now. Concurrent calls for one job return
+   * false. An owner that still answers is asked for its unlisted results and progress.
    */
   async adopt(job: string, found: VersionedHead, ownerAnswers: boolean): Promise<boolean> {
     if (this.adopting.has(job) || !this.mayAdopt(job, found.head)) return false;
@@ -57,7 +57,7 @@
     return this.takeOver(job, found, ownerAnswers).finally(() => this.adopting.delete(job));
   }
 
-  /** Whether the job may lie here; its head tells, so that nothing else of it is read. */
+  /** Whether this node may store the job, decided by its head so that nothing else is read. */
   private mayAdopt(job: string, head: JobHead): boolean {
     const { residency, log } = this.options;
     const allowed = residency.regionsForOrigin(head);
@@ -103,8 +103,8 @@
   }
 
   /**
-   * Keeps the owner before from writing to the job's journal, and learns what that holds. Where no
-   * replica of it answers, as its zone is cut off from here, the job stays with its owner.
+   * Fences the previous owner off from the job's journal and reads its entries. If no replica answers,
+   * because its zone is unreachable, the previous owner keeps the job.
    */
   private async claimJournal(
     job: string,
@@ -123,14 +123,14 @@
     return 'not-claimed';
   }
 
-  /** Takes a job that its owner has just released. */
+  /** Takes over a job that its owner has released. */
   async takeReleased(job: string): Promise<boolean> {
     const read = await this.options.store.head(job);
     if (read.kind !== 'found' || isFinished(read.value.head)) return false;
     return read.value.head.owner === null && this.adopt(job, read.value, false);
   }
 
-  /** Gives all open jobs up for other nodes. */
+  /** Releases all open jobs and offers them to other nodes. */
   async release(wanted: StillWanted): Promise<void> {
     const open = this.options.owned.all().filter((job) => job.isOpen);
     await Promise.all(
@@ -142,7 +142,7 @@
     );
   }
 
-  /** Has other nodes take the jobs that a changed configuration no longer lets lie here. */
+  /** Transfers jobs that the current configuration does not allow on this node. */
   async moveMisplaced(): Promise<void> {
     const { owned, residency } = this.options;
     if (!residency.limitsRegions || this.isMoving) return;
@@ -163,7 +163,7 @@
   }
 }
 
-/** Changes that a journal holds beyond the pages that the store has, in order. */
+/** Journal changes that the store does not have yet, in listing order. */
 export function changesBeyond(entries: readonly JournalEntry[], pages: number): ListingChange[] {
   const changes = entries.filter((entry) => entry.kind !== 'created');
   const isNew = (change: ListingChange): boolean =>
@@ -173,7 +173,7 @@
   return changes.filter(isNew).sort((a, b) => placeOf(a) - placeOf(b));
 }
 
-/** Why a job is taken over, for the counter. */
+/** Label of the takeover counter. */
 function causeOf(owner: JobOwner | null, ownerAnswers: boolean): string {
   if (owner === null) return 'released';
   return ownerAnswers ? 'cut-off' : 'lost';
--- a/src/jobs/job-listing.ts
+++ b/src/jobs/job-listing.ts
@@ -1,7 +1,6 @@
 /**
- * The results of a job that this node runs, in the order in which they are told, and the job's end.
- * Changes are made one at a time. Each that is kept shows that the job is still this node's; where
- * nothing changes, that is asked for.
+ * Lists the results of an owned job in order, and records its cancellation. Changes are serialized.
+ * Each stored change confirms the ownership; without changes it is verified periodically.
  */
 import type { Milliseconds } from '../core/units.js';
 import type { JobJournal } from '../journal/job-journal.js';
@@ -12,33 +11,33 @@
 import { JOURNAL_DELAY, type ListingChange, ListingWriter } from './listing-writer.js';
 import { firstPageOf } from './value-limits.js';
 
-/** Least time between two pages of results, while many items are still open. */
+/** Minimum interval between two pages of results while many items are open. */
 const LISTING_INTERVAL: Milliseconds = 350;
 
-/** The same once the groups that the trainer waits for are nearly whole. */
+/** Minimum interval once the job is closing, when the trainer waits for the last groups. */
 const CLOSING_LISTING_INTERVAL: Milliseconds = 120;
 
-/** Share of the items still open below which a job counts as closing. */
+/** Share of open items below which a job counts as closing. */
 const CLOSING_SHARE = 0.25;
 
-/** A job that nothing confirmed for this long is asked for. */
+/** Age of the last ownership confirmation after which it is verified. */
 const VERIFY_INTERVAL: Milliseconds = 1_200;
 
-/** Time for which an end or a release is waited for at least, in steps. */
+/** Minimum wait for a cancellation or release, in polls and the interval between them. */
 const LEAST_PATIENCE_STEPS = 10;
 const PATIENCE_STEP: Milliseconds = 50;
 
 /**
- * Why a job is no longer run here. `ended-elsewhere`: another node was told to end it, as this one did
- * not reach the store; somebody else may have listed more of it meanwhile.
+ * Why this node no longer runs a job. `ended`: it was cancelled. `ended-elsewhere`: another node
+ * cancelled it because this one could not reach the store; others may have listed more results.
  */
 export type OwnershipEnd = 'finished' | 'ended' | 'ended-elsewhere' | 'superseded' | 'released';
 
-/** What a job has in its zone's journal. */
+/** The state of a job in its zone's journal. */
 export interface JournaledWork {
-  /** The journal as this owner writes it; `undefined` where the job has none. */
+  /** The journal, claimed by this owner; `undefined` if the job has none. */
   readonly journal?: JobJournal | undefined;
-  /** Changes that the journal kept for an earlier owner and the store lacks. */
+  /** Changes that an earlier owner journaled and the store lacks. */
   readonly resumed?: readonly ListingChange[];
   readonly metrics?: FleetMetrics;
 }
@@ -46,21 +45,21 @@
 /** Options of {@link JobListing}. */
 export interface JobListingOptions {
   readonly spec: JobSpecification;
-  /** The head in the store; `undefined` while the store has not taken the job. */
+  /** The stored head; `undefined` until the store has the job. */
   readonly head: VersionedHead | undefined;
-  /** Results that the store has. */
+  /** Results that the store already has. */
   readonly listed: readonly JobResult[];
   readonly journaled: JournaledWork;
   readonly self: JobOwner;
   readonly store: JobStore;
   readonly clock: Clock;
-  /** What was made of unfinished items, as much as the store holds. */
+  /** Progress of unfinished items, limited to what the store accepts. */
   readonly progress: () => StoredProgress;
-  /** Whether the job is still run here. */
+  /** Whether this node still runs the job. */
   readonly isOpen: () => boolean;
-  /** The job is no longer run here, for this reason. */
+  /** Called when this node stops running the job. */
   readonly close: (reason: OwnershipEnd) => void;
-  /** Results were listed, or could not be. */
+  /** Called after an attempt to list results. */
   readonly noteChanged: () => void;
 }
 
@@ -69,15 +68,15 @@
   private readonly listed: JobResult[] = [];
   private pending: JobResult[] = [];
   private readonly writer: ListingWriter;
-  /** Pages whose results are all listed. */
+  /** Number of listed pages. */
   private listedPages: number;
   private lastListingAt: Milliseconds = Number.NEGATIVE_INFINITY;
-  /** By {@link suspendAwareTime}, as others may act while this machine is suspended. */
+  /** By {@link suspendAwareTime}, because other nodes may act while this machine is suspended. */
   private confirmedAt: Milliseconds;
-  /** Whether an end is on its way, and whether one is kept. */
+  /** Whether a cancellation is being stored, and whether it is stored. */
   private isEnding = false;
   private isEndKept = false;
-  /** Whether the zone's journal keeps that the job was taken in. */
+  /** Whether the zone's journal has recorded the job's acceptance. */
   private isKeptByJournal = false;
   private queue: Promise<unknown> = Promise.resolve();
   private isInTurn = false;
@@ -101,7 +100,7 @@
     this.confirmedAt = suspendAwareTime(clock);
   }
 
-  /** Sends on what the journal kept for an earlier owner; that may have ended the job. */
+  /** Writes an earlier owner's journaled changes to the store; they may include a cancellation. */
   resume(): void {
     const { resumed = [] } = this.options.journaled;
     this.writer.resume(resumed);
@@ -113,49 +112,49 @@
     return this.listed;
   }
 
-  /** Results that are not known to be listed. */
+  /** Results that are not confirmed as listed. */
   get unlisted(): readonly JobResult[] {
     return this.pending;
   }
 
-  /** Pages of all listed results, as the store has them or will have. */
+  /** Number of listed pages, including those that only the journal has so far. */
   get pages(): number {
     return this.listedPages;
   }
 
-  /** The head as this node last saw it in the store. */
+  /** The head as this node last read or wrote it in the store. */
   get head(): VersionedHead | undefined {
     return this.writer.head;
   }
 
-  /** Whether the store still lacks something that was told. */
+  /** Whether the store still lacks listed changes. */
   get isUnsettled(): boolean {
     return this.writer.isBusy;
   }
 
-  /** Time since it was last confirmed that the job is this node's. */
+  /** Time since the ownership of the job was last confirmed. */
   confirmationAge(): Milliseconds {
     return suspendAwareTime(this.options.clock) - this.confirmedAt;
   }
 
-  /** Takes a result; it is listed with the next page. */
+  /** Queues a result for the next page. */
   add(result: JobResult): void {
     this.pending.push(result);
   }
 
-  /** The store has taken the job: results may be listed from now on. */
+  /** Enables listing after the store has accepted the job. */
   attach(head: VersionedHead): void {
     this.writer.take(head);
     this.confirmedAt = suspendAwareTime(this.options.clock);
   }
 
-  /** The zone's journal has taken the job, and the store not yet: results may be listed. */
+  /** Enables listing after the zone's journal has accepted the job, ahead of the store. */
   attachByJournal(): void {
     this.isKeptByJournal = true;
     this.confirmedAt = suspendAwareTime(this.options.clock);
   }
 
-  /** Does what is due: lists results, or confirms the job. Called often. */
+  /** Lists pending results or verifies the ownership, whichever is due. */
   advance(): void {
     if (this.isInTurn || !this.mayList) return;
     const sinceListing = this.options.clock.now() - this.lastListingAt;
@@ -167,8 +166,8 @@
   }
 
   /**
-   * Ends the job for good; resolves with whether that is kept. A page that the store does not take
-   * may hold the turn: the end is then made after it, whoever waits.
+   * Cancels the job; resolves with whether the cancellation is stored. It is queued behind a page that
+   * is being written, and proceeds even if the caller stops waiting.
    */
   end(wanted: StillWanted): Promise<boolean> {
     const ending = this.inTurn(async () => {
@@ -183,7 +182,7 @@
     return this.whileWanted(ending, wanted);
   }
 
-  /** Gives the job up for another node to take, if its turn comes in time. */
+  /** Releases the job for another node, after earlier changes; `isStillNeeded` limits the wait. */
   async release(wanted: StillWanted): Promise<void> {
     const { store, spec, progress, isOpen, close } = this.options;
     const releasing = this.inTurn(async () => {
@@ -202,12 +201,12 @@
     );
   }
 
-  /** Makes sure now that the job is still run here. */
+  /** Verifies the ownership of the job now. */
   verifyNow(): Promise<void> {
     return this.inTurn(() => this.verify());
   }
 
-  /** Whether the job is kept, so that its results may be told. */
+  /** Whether the job is durably stored, so that results may be listed. */
   private get mayList(): boolean {
     return this.writer.head !== undefined || this.isKeptByJournal;
   }
@@ -225,12 +224,12 @@
         this.isInTurn = false;
       }
     });
-    // A failed turn is told to who asked for it; the next one is not its concern.
+    // A failed turn rejects only its own caller; the queue continues.
     this.queue = turn.catch(() => undefined);
     return turn;
   }
 
-  /** Waits for a change while it is wanted, and a moment at least; false where it has not held then. */
+  /** Waits for a change while it is needed, and at least for a minimum time; false on timeout. */
   private async whileWanted(change: Promise<boolean>, wanted: StillWanted): Promise<boolean> {
     let holds: boolean | undefined;
     void change.then((value) => {
@@ -243,10 +242,10 @@
     return false;
   }
 
-  /** Lists what fits into one page; tells whether that is kept. */
+  /** Lists one page of pending results; returns whether it is stored. */
   private async list(): Promise<boolean> {
     const { clock, spec, isOpen, close, noteChanged } = this.options;
-    // A copy: items that finish while the change is under way belong to the next one.
+    // Items that finish during the write belong to the next page.
     const offered = this.pending.length;
     const batch = firstPageOf(this.pending);
     if (batch.length === 0 || !isOpen() || !this.mayList) return false;
@@ -258,7 +257,7 @@
       this.listed.push(...batch);
       this.listedPages += 1;
       this.confirmedAt = startedAt;
-      // What did not fit into the page is not made to wait.
+      // The results that did not fit into the page are due immediately.
       if (batch.length < offered) this.lastListingAt = Number.NEGATIVE_INFINITY;
       if (this.listed.length >= spec.items.length) close('finished');
     }
@@ -266,7 +265,7 @@
     return isListed;
   }
 
-  /** Makes sure, by the store or while that is silent by the journal, that the job is still run here. */
+  /** Verifies the ownership at the store or, while that does not answer, at the journal. */
   private async verify(): Promise<void> {
     const { clock, journaled, isOpen } = this.options;
     const startedAt = suspendAwareTime(clock);
@@ -290,17 +289,17 @@
     else this.noteHead({ kind: 'superseded', current: read.value });
   }
 
-  /** Acts on what a change told of the head. */
+  /** Closes the job if the outcome of a change shows that it was cancelled or superseded. */
   private noteHead(change: HeadChange): void {
-    // The store may take an end after all who waited for it have left.
+    // The store may accept a cancellation after its callers have stopped waiting.
     if (change.kind === 'changed' && change.current.head.ended) this.options.close('ended');
     if (change.kind !== 'superseded') return;
-    // Who does not hold all results must not answer for the job, even where it has ended.
+    // A node that lacks listed results must not answer for the job, even a cancelled one.
     if (!this.isOwnChange(change)) this.options.close('superseded');
     else if (change.current?.head.ended === true) this.options.close('ended');
   }
 
-  /** Whether a head that another node changed still names this one, with the pages that it knows. */
+  /** Whether a head changed by another node still names this owner and the pages it knows. */
   private isOwnChange(change: HeadChange): boolean {
     if (change.kind !== 'superseded' || change.current === undefined) return false;
     const { self } = this.options;
--- a/src/jobs/job-peers.ts
+++ b/src/jobs/job-peers.ts
@@ -1,4 +1,4 @@
-/** What a node asks the other nodes about jobs. Every answer may fail to come. */
+/** Requests about jobs to the other nodes. Any of them may stay unanswered. */
 import type { ModelName, ZoneName } from '../core/identity.js';
 import type { Milliseconds, WeightVersion } from '../core/units.js';
 import type { Failure } from '../errors/error-kinds.js';
@@ -9,66 +9,66 @@
 import type { JobOwner, JobSpecification } from './job-records.js';
 import type { ResultSlice } from './job-results.js';
 
-/** What a job asks of the workers of its model. */
+/** The weights and the amount of work that a job needs from the workers of its model. */
 export interface WeightNeed {
   readonly model: ModelName;
-  /** Oldest version that may make its results. */
+  /** Oldest weight version that may generate its results. */
   readonly version: WeightVersion;
-  /** Tokens that its items are expected to make. */
+  /** Expected output tokens of all items. */
   readonly tokens: number;
-  /** The zone whose workers, or whose region's, are to run it, where these run their own jobs. */
+  /** The zone whose workers should run the job, or whose region's should, if zones run their own. */
   readonly zone?: ZoneName;
 }
 
-/** Where a submission is settled. */
+/** Which node settles a submission. */
 export type SubmissionPath =
-  /** Another node settled it; no failure means that the job is kept. */
+  /** Another node settled it; without a failure, the job is durably stored. */
   | { readonly kind: 'answered'; readonly failure: Failure | undefined }
-  /** No node that may hold it takes it, and this one may not hold it. */
+  /** No eligible node accepts it, and this node is not eligible. */
   | { readonly kind: 'nowhere'; readonly failure: Failure }
-  /** It is for this node to store; with `mayRunElsewhere` another node may have taken it too. */
+  /** This node must store it; with `mayRunElsewhere`, another node may have accepted it too. */
   | { readonly kind: 'here'; readonly mayRunElsewhere: boolean };
 
-/** What a likely owner told of an item. */
+/** An item's body as reported by the owner of its job. */
 export interface OwnerItemBody {
   /** The tenant that submitted the job. */
   readonly tenant: TenantName | undefined;
-  /** Base64; `undefined` where the job has no such item. */
+  /** Base64; `undefined` if the job has no such item. */
   readonly body: string | undefined;
 }
 
-/** What another node answered in this one's place; no failure means that it was done. */
+/** Outcome of a request that another node handled; without a failure, it succeeded. */
 export interface ForwardedOutcome {
   readonly failure: Failure | undefined;
 }
 
-/** The other nodes, as the jobs' modules see them. */
+/** Client for the other nodes. */
 export interface JobPeers {
-  /** What other nodes kept of items, by item id. */
+  /** Work on items that other nodes have cached, by item id. */
   cachedWork(items: readonly string[]): Promise<ReadonlyMap<string, DigestedWork>>;
-  /** Results behind a position, from the owner; `undefined` where it does not tell. */
+  /** The owner's results from position `after` on; `undefined` if it does not answer for the job. */
   ownerListing(
     owner: JobOwner,
     job: string,
     after: number,
     wait: Milliseconds,
   ): Promise<OwnerListing | undefined>;
-  /** Asks the owner to end a job on a caller's behalf; tells whether it did. */
+  /** Asks the owner to cancel a job for a caller; returns whether it did. */
   cancelAtOwner(owner: JobOwner, job: string, caller: CallerIdentity): Promise<boolean>;
-  /** Has the owner of before give a job up; what it made of the items. */
+  /** Asks the previous owner to release a job; returns its work on the items. */
   releaseAtOwner(owner: JobOwner, job: string): Promise<ReadonlyMap<string, DigestedWork>>;
-  /** Lives of nodes that probably run a job, the likeliest first, without this node. */
+  /** Node incarnations that probably own a job, the likeliest first, without this node. */
   likelyOwners(job: string): readonly JobOwner[];
-  /** Has a likely owner tell the body of an item; `undefined` where none does. */
+  /** An item's body from a likely owner; `undefined` if none of them owns the job. */
   bodyAtOwner(job: string, item: string): Promise<OwnerItemBody | undefined>;
   /**
-   * Has the node that is to run a job take it in, or where this node does not reach the store one
-   * that does.
+   * Forwards a job to the node that should run it or, if this node cannot reach the store, to a node
+   * that can.
    */
   submitElsewhere(spec: JobSpecification): Promise<SubmissionPath>;
   /**
-   * Where this node does not reach the store and another one does, that one reads results or ends a
-   * job in its place; `undefined` where it is for this node to do.
+   * Reads results through a node that reaches the store, if this one does not; `undefined` if this
+   * node must serve the read.
    */
   readElsewhere(
     job: string,
@@ -77,10 +77,10 @@
     caller: CallerIdentity,
   ): Promise<ResultSlice | Failure | undefined>;
   cancelElsewhere(job: string, caller: CallerIdentity): Promise<ForwardedOutcome | undefined>;
-  /** Offers a released job to another node that may hold it. */
+  /** Offers a released job to other nodes in the allowed regions. */
   offerReleased(job: string, allowed?: AllowedRegions): Promise<void>;
-  /** Has a node that may hold a job take it from a live owner; tells whether one did. */
+  /** Has a node in the allowed regions take over a job of a live owner; returns whether one did. */
   transferMisplaced(job: string, owner: JobOwner, allowed: AllowedRegions): Promise<boolean>;
-  /** Tells the coordinator what a job needs. */
+  /** Reports the weights that a job needs to the coordinator. */
   reportWeightNeed(need: WeightNeed): void;
 }
--- a/src/jobs/job-reader.ts
+++ b/src/jobs/job-reader.ts
@@ -1,8 +1,7 @@
 /**
- * Reads jobs that another node runs. Listed results and specifications never change, so they are
- * kept; only what may be missing is asked of the owner, who is mostly known by the job's id, and of
- * the store where that does not help. A node that may not hold a job passes on what its caller asks
- * for, and keeps nothing.
+ * Reads jobs that other nodes own. Listed results and specifications are immutable and are cached;
+ * missing results are requested from the likely owners of the job first and then from the store. A
+ * node that may not store a job forwards its results without caching them.
  */
 import type { Milliseconds } from '../core/units.js';
 import type { ZoneJournals } from '../journal/zone-journals.js';
@@ -12,29 +11,29 @@
 import type { JobOwner, JobResult, JobSpecification } from './job-records.js';
 import type { JobStore, Read } from './job-store.js';
 
-/** Jobs whose results, and whose specifications, are kept at most. */
+/** Cache sizes in jobs: results, and specifications. */
 const KEPT_JOBS = 48;
 const KEPT_SPECIFICATIONS = 8;
 
-/** What is known of a job. */
+/** Cached state of a job. */
 interface KnownJob {
   readonly tenant: TenantName | undefined;
   readonly total: number;
-  /** Who ran it when its head was read. */
+  /** The owner when the job was last read; `null` if none is known. */
   owner: JobOwner | null;
   pages: number;
   /**
-   * Position of the first of `results`. Who reads from a later position is not sent what comes
-   * before it: texts are most of what crosses between zones.
+   * Position of the first of `results`. Earlier results are not fetched for a read from a later
+   * position, because texts are most of the traffic between zones.
    */
   readonly offset: number;
   readonly results: JobResult[];
 }
 
-/** What is known of a job whose results may not be kept here. */
+/** Cached state of a job whose results this node may not store. */
 type JobPlace = Pick<KnownJob, 'tenant' | 'total' | 'owner'>;
 
-/** What a reader of results learns. */
+/** Results of a job as read. */
 export interface JobListing {
   /** The tenant that submitted the job. */
   readonly tenant: TenantName | undefined;
@@ -44,19 +43,19 @@
   readonly results: readonly JobResult[];
 }
 
-/** Results that the owner of a job told, behind those that are known. */
+/** Results that the owner of a job reported, from the requested position on. */
 export interface OwnerListing {
   readonly tenant: TenantName | undefined;
-  /** Items of the job. */
+  /** Number of items in the job. */
   readonly total: number;
   readonly results: readonly JobResult[];
-  /** Pages up to the last of all results. */
+  /** Number of pages listed so far. */
   readonly pages: number;
-  /** Where they may be kept; `undefined` where anywhere. */
+  /** Regions that may store the results; `undefined` if any may. */
   readonly allowedRegions?: AllowedRegions;
 }
 
-/** Asks the owner of a job; `undefined` where it does not answer or is not the owner any more. */
+/** Requests results from an owner; `undefined` if it does not answer or no longer owns the job. */
 export type AskOwner = (
   owner: JobOwner,
   job: string,
@@ -64,7 +63,7 @@
   wait: Milliseconds,
 ) => Promise<OwnerListing | undefined>;
 
-/** Reads jobs from their owners, and from the store. */
+/** Reads jobs from their owners and from the store. */
 export class JobReader {
   private readonly jobs = new Map<string, KnownJob>();
   private readonly places = new Map<string, JobPlace>();
@@ -73,9 +72,9 @@
   constructor(
     private readonly store: JobStore,
     private readonly askOwner: AskOwner,
-    /** Lives of nodes that probably run a job, the likeliest first; all are asked before the store. */
+    /** Node incarnations that probably own a job, the likeliest first; tried before the store. */
     private readonly likelyOwners: (job: string) => readonly JobOwner[] = () => [],
-    /** The zones' journals, where zones serve their own callers. */
+    /** The zones' journals, if zones accept jobs without the store. */
     private readonly journals?: Pick<ZoneJournals, 'entryStatus' | 'entryStatusInAllZones'>,
     private readonly residency: JobResidency = UNRESTRICTED_RESIDENCY,
   ) {}
@@ -97,20 +96,20 @@
     return this.readFromStore(job, opened, after);
   }
 
-  /** The store's results, if nothing may be listed that the store does not have yet. */
+  /** Reads results from the store, unless a journal may have listed more. */
   private async readFromStore(
     job: string,
     opened: KnownJob,
     after: number,
   ): Promise<Read<JobListing>> {
-    // Pages are counted from the first position on.
+    // Page numbers are relative to the first position.
     const whole = opened.offset === 0 ? opened : await this.openAtStore(job);
     if ('kind' in whole) return whole;
     return this.readPages(job, whole, after);
   }
 
   private async readPages(job: string, known: KnownJob, after: number): Promise<Read<JobListing>> {
-    // The journal is looked at first: what leaves it meanwhile is then in the store.
+    // The journal is checked first: entries released after that are already in the store.
     const isAll = await this.isStoreComplete(job);
     const read = await this.store.results(job, known.pages);
     if (read.kind !== 'found') return { kind: 'unavailable' };
@@ -119,28 +118,28 @@
     return isTold ? { kind: 'found', value: known } : { kind: 'unavailable' };
   }
 
-  /** Whether the store surely has all that was listed of a job. */
+  /** Whether the store certainly has all listed results of a job. */
   private async isStoreComplete(job: string): Promise<boolean> {
     const { journals } = this;
     if (journals === undefined) return true;
     const read = await this.store.head(job);
     if (read.kind !== 'found') return false;
     const { head } = read.value;
-    // A job may have ended in the store while its zone was cut off, with results told there.
+    // A job cancelled in the store may have results that only its partitioned zone has listed.
     if (head.replicas === undefined || head.listed >= head.total) return true;
     return (await journals.entryStatus(job, head.replicas)) === 'not-held';
   }
 
-  /** Whether there is surely no such job, now that the store knows of none. */
+  /** Whether a job that the store does not have certainly does not exist. */
   async isSurelyAbsent(job: string): Promise<boolean> {
     const { journals } = this;
     if (journals === undefined) return true;
     if ((await journals.entryStatusInAllZones(job)) !== 'not-held') return false;
-    // What left a journal meanwhile is in the store.
+    // Entries released from a journal meanwhile are already in the store.
     return (await this.store.head(job)).kind === 'absent';
   }
 
-  /** The job as it was submitted. */
+  /** Reads the specification of a job. */
   async specification(job: string): Promise<Read<JobSpecification>> {
     const known = this.specifications.get(job);
     if (known !== undefined) return { kind: 'found', value: known };
@@ -157,7 +156,7 @@
     return place === undefined ? undefined : { ...place, pages: 0, offset: after, results: [] };
   }
 
-  /** Keeps what is known of a job; where its results may not lie here, who has them. */
+  /** Caches the state of a job, without results if this node may not store them. */
   private keepJob(job: string, known: KnownJob, allowed: AllowedRegions): void {
     const { tenant, total, owner } = known;
     if (this.residency.mayHoldHere(allowed)) keep(this.jobs, job, known, KEPT_JOBS);
@@ -174,7 +173,7 @@
       if (listing === undefined) continue;
       const { tenant, total, pages, results, allowedRegions } = listing;
       const opened = { tenant, total, owner, pages, offset: after, results: [...results] };
-      // Without results it is not known whether so many are listed: the position is the reader's.
+      // Without results, `after` is the caller's position and may exceed the listed results.
       if (after === 0 || results.length > 0) this.keepJob(job, opened, allowedRegions);
       return opened;
     }
@@ -201,13 +200,13 @@
       this.places.delete(job);
       return false;
     }
-    // Another read may have brought some of them meanwhile.
+    // A concurrent read may already have added some of them.
     known.results.push(...listing.results.slice(endOf(known) - from));
     known.pages = Math.max(known.pages, listing.pages);
     return true;
   }
 
-  /** Two reads at a time may bring the same pages; only the next one in order is added. */
+  /** Appends pages, skipping those that a concurrent read has already added. */
   private extend(known: KnownJob, pages: readonly (readonly JobResult[])[]): void {
     const seen = new Set(known.results.map((result) => result.id));
     for (const page of pages) {
@@ -218,7 +217,7 @@
   }
 }
 
-/** Position behind the last known result. */
+/** Position after the last cached result. */
 function endOf({ offset, results }: KnownJob): number {
   return offset + results.length;
 }
@@ -227,7 +226,7 @@
   return endOf(known) >= known.total;
 }
 
-/** Adds an entry and drops the oldest beyond the limit. */
+/** Adds an entry and evicts the oldest one beyond the limit. */
 function keep<Value>(map: Map<string, Value>, key: string, value: Value, limit: number): void {
   map.set(key, value);
   const oldest = map.keys().next();
--- a/src/jobs/job-records.ts
+++ b/src/jobs/job-records.ts
@@ -1,8 +1,7 @@
 /**
- * What is kept of batch jobs in the shared store: specification, head, pages of results. Builds of
- * two formats may run a job in turn: each keeps the fields that it does not know, but for those of
- * kept progress, which is made anew. The build of format 1 drops them from heads, so what a head
- * gains must not be needed.
+ * Records of batch jobs in the shared store: specification, head, result pages and progress. Builds
+ * of two formats may own a job in turn, so unknown fields are preserved, except in progress, which is
+ * rewritten. Format 1 drops unknown fields from heads, so fields added to heads must be optional.
  */
 import * as z from 'zod';
 import { openRecord } from '../core/open-record.js';
@@ -10,11 +9,11 @@
 import { REPLICA_LOCATION } from '../journal/replica-location.js';
 import type { WeightNeed } from './job-peers.js';
 
-/** The request that asks for the score of an item's text, at the service of its own route. */
+/** The request for the score of an item's text; its host and path select its route. */
 const SCORE_REQUEST = openRecord({
   id: z.string(),
   host: z.string(),
-  /** Path and query. */
+  /** Path and query string. */
   path: z.string(),
   /** Base64. */
   body: z.string(),
@@ -24,35 +23,35 @@
 const ITEM = openRecord({
   id: z.string(),
   path: z.string(),
-  /** Header names and values in turn. */
+  /** Alternating header names and values. */
   headers: z.array(z.string()),
   /** Base64. */
   body: z.string(),
-  /** Tokens of the prompt and most out, summed. */
+  /** Prompt tokens plus the maximum output tokens. */
   tokens: z.number(),
-  /** Items of one group share their prompt and count only when all are whole. */
+  /** Items of one group share a prompt and count only when all of them are completed. */
   group: z.string(),
-  /** Guess of the size of the answer in tokens; longer ones are run first. */
+  /** Expected output tokens; longer items run first. */
   expectedLength: z.number(),
-  /** Where its result needs a score to be listed as completed. */
+  /** Present if the result needs a score before it is listed as completed. */
   scoreRequest: SCORE_REQUEST.optional(),
 });
 
-/** A job as it was submitted. */
+/** A job as submitted. */
 export const SPECIFICATION = openRecord({
   id: z.string(),
   host: z.string(),
-  /** Path of the submission; its route is the job's route. */
+  /** Path of the submission, which selects the job's route. */
   path: z.string(),
   step: z.number(),
   model: z.string(),
-  /** Oldest version of the weights that may make its results. */
+  /** Oldest weight version that may generate its results. */
   minVersion: z.number(),
-  /** The tenant that submitted it; records of fleets without tenants lack it. */
+  /** The tenant that submitted the job; absent in fleets without tenants. */
   tenant: z.string().optional(),
-  /** Whole groups that the trainer waits for. */
+  /** Number of completed groups that the trainer waits for. */
   desiredCount: z.number(),
-  /** Time of day of the submission, in milliseconds since 1970. */
+  /** Wall-clock time of the submission, in milliseconds since the Unix epoch. */
   submittedAt: z.number(),
   items: z.array(ITEM),
 });
@@ -60,43 +59,43 @@
 const OWNER = openRecord({
   node: z.string(),
   incarnation: z.string(),
-  /** Where other nodes reach it. */
+  /** Address at which other nodes reach the owner. */
   address: z.string(),
 });
 
 const ROUTED_REQUEST = openRecord({ host: z.string(), path: z.string() });
 
 const HEAD = openRecord({
-  /** The life of a node that runs the items; `null` where none does. */
+  /** The node incarnation that runs the items; `null` if the job is released. */
   owner: OWNER.nullable(),
-  /** The tenant that submitted the job, as in its specification. */
+  /** The tenant of the specification. */
   tenant: z.string().optional(),
-  /** Number of its owner among all that it had; each has a higher one than the one before. */
+  /** Fencing token of the owner in the zone's journal; each owner has a higher one. */
   term: z.number().optional(),
-  /** The replicas of its zone's journal, where it has one. */
+  /** The replicas of the zone's journal for the job, if there is one. */
   replicas: z.array(REPLICA_LOCATION).optional(),
-  /** The zone that it was handed in at; records of older builds lack it. */
+  /** The zone in which the job was submitted; absent in records of older builds. */
   zone: z.string().optional(),
-  /** A request for each route that it takes, where regions matter: who may run it depends on them. */
+  /** One request per route of the job, to determine the allowed regions if they are restricted. */
   requests: z.array(ROUTED_REQUEST).optional(),
   total: z.number(),
   listed: z.number(),
   pages: z.number(),
   ended: z.boolean(),
   submittedAt: z.number(),
-  /** Keys that the specification takes. */
+  /** Number of keys that contain the specification. */
   specificationParts: z.number(),
-  /** Drawn anew for each change, to tell one's own change after a lost answer. */
+  /** Random id of the last change, to recognize an own change whose response was lost. */
   changeId: z.string(),
 });
 
-/** One listed result. */
+/** A listed result. */
 export const RESULT = openRecord({
   id: z.string(),
   state: z.enum(['completed', 'terminated']),
   text: z.string(),
   versions: z.array(z.number()),
-  /** The signature of the answer to the item's score request. */
+  /** Signature of the response to the item's score request. */
   score: z.string().optional(),
 });
 
@@ -108,7 +107,7 @@
     events: z.array(z.string()),
     lastEventId: z.number(),
     versions: z.array(z.number()),
-    /** Whether the text is whole and lacks only its score. */
+    /** Whether the text is complete and lacks only its score. */
     isWhole: z.boolean().optional(),
   }),
 );
@@ -117,17 +116,17 @@
 export type ScoreRequest = z.infer<typeof SCORE_REQUEST>;
 /** One item of a job. */
 export type JobItem = z.infer<typeof ITEM>;
-/** A job as it was submitted; never changes. */
+/** A job as submitted; immutable. */
 export type JobSpecification = z.infer<typeof SPECIFICATION>;
-/** One life of a node. */
+/** A node incarnation that owns jobs. */
 export type JobOwner = z.infer<typeof OWNER>;
-/** The part of a job that changes; every change is conditional on its revision. */
+/** The mutable part of a job; every change is conditional on its revision. */
 export type JobHead = z.infer<typeof HEAD>;
-/** One listed result. */
+/** A listed result. */
 export type JobResult = z.infer<typeof RESULT>;
-/** Results at successive positions; never changes once written. */
+/** Results at consecutive positions; immutable. */
 export type ResultPage = z.infer<typeof PAGE>;
-/** What was made of items that are not listed yet, by item. */
+/** Progress of unlisted items, by item id. */
 export type StoredProgress = z.infer<typeof PROGRESS>;
 
 const HEADS = 'job/head/';
@@ -135,10 +134,10 @@
 const PAGES = 'job/page/';
 const PROGRESSES = 'job/progress/';
 
-/** Digits of a page's number in its key, so that keys sort as numbers do. */
+/** Digits of a page or part number in its key, so that keys sort numerically. */
 const PAGE_DIGITS = 6;
 
-/** Keys of the shared store. */
+/** Keys of job records in the shared store. */
 export const JOB_KEYS = {
   heads: HEADS,
   head: (job: string): string => `${HEADS}${job}`,
@@ -153,7 +152,7 @@
   progress: (job: string): string => `${PROGRESSES}${job}`,
 } as const;
 
-/** Reads a record; `undefined` where it is not one. */
+/** Decodes a record; `undefined` if the text does not match the schema. */
 function decode<Schema extends z.ZodType>(
   schema: Schema,
   text: string,
@@ -166,28 +165,28 @@
   }
 }
 
-/** Reads a head; `undefined` where the text is none. */
+/** Decodes a head; `undefined` if the text is invalid. */
 export const decodeHead = (text: string): JobHead | undefined => decode(HEAD, text);
-/** Reads a specification; `undefined` where the text is none. */
+/** Decodes a specification; `undefined` if the text is invalid. */
 export const decodeSpecification = (text: string): JobSpecification | undefined =>
   decode(SPECIFICATION, text);
-/** Reads a page; `undefined` where the text is none. */
+/** Decodes a page; `undefined` if the text is invalid. */
 export const decodePage = (text: string): ResultPage | undefined => decode(PAGE, text);
-/** Reads kept progress; `undefined` where the text is none. */
+/** Decodes stored progress; `undefined` if the text is invalid. */
 export const decodeProgress = (text: string): StoredProgress | undefined => decode(PROGRESS, text);
 
-/** Whether nothing is left to run for a job. */
+/** Whether a job is cancelled or all its results are listed. */
 export function isFinished(head: JobHead): boolean {
   return head.ended || head.listed >= head.total;
 }
 
-/** What a job asks of the workers of its model. */
+/** The weights and the amount of work that a job needs. */
 export function weightNeedOf({ model, minVersion, items }: JobSpecification): WeightNeed {
   const tokens = items.reduce((sum, item) => sum + item.expectedLength, 0);
   return { model, version: minVersion, tokens };
 }
 
-/** Age of a job by the time of day. */
+/** Age of a job by wall-clock time, not below 0. */
 export function ageOf(
   record: { readonly submittedAt: number },
   wallTime: Milliseconds,
--- a/src/jobs/job-results.ts
+++ b/src/jobs/job-results.ts
@@ -1,18 +1,18 @@
-/** Pages of results as trainers read them. */
+/** Slices of a job's results as trainers read them. */
 import type { JobListing } from './job-reader.js';
 import type { JobResult } from './job-records.js';
 
-/** A page of results as a trainer reads it. */
+/** Consecutive results of a job, as one response returns them. */
 export interface ResultSlice {
   readonly total: number;
   readonly results: readonly JobResult[];
   readonly nextPosition: number;
 }
 
-/** Bytes of result text in one answer, beyond the first result. */
+/** Limit on the result text in one response; the first result may exceed it. */
 const MAXIMUM_SLICE_BYTES = 900_000;
 
-/** The results from a position on, as many as fit into one answer. */
+/** The results from position `after` on, as many as fit into one response. */
 export function sliceOf(
   listing: Omit<JobListing, 'tenant' | 'offset'> & Partial<Pick<JobListing, 'offset'>>,
   after: number,
--- a/src/jobs/job-service.ts
+++ b/src/jobs/job-service.ts
@@ -1,4 +1,4 @@
-/** What trainers ask of jobs, at any node: submit, read results, ask for a body, end. */
+/** Job operations that any node serves: submit, read results, read an item's body, cancel. */
 import type { ZoneName } from '../core/identity.js';
 import type { Milliseconds } from '../core/units.js';
 import { type Failure, failure } from '../errors/error-kinds.js';
@@ -28,29 +28,29 @@
 export interface JobServiceOptions extends OwnedJobsOptions {
   readonly reader: JobReader;
   readonly peers: JobPeers;
-  /** Time for which a job stays readable after its submission. */
+  /** Time after its submission for which a job stays readable. */
   readonly retention: () => Milliseconds;
-  /** Whether a life of a node that wrote to a journal is still live. @default all are */
+  /** Whether the node incarnation that wrote to a journal is live. @default all are */
   readonly isWriterLive?: (writer: string) => boolean;
-  /** Which nodes may hold a job. @default all */
+  /** Which nodes may store a job. @default all */
   readonly residency?: JobResidency | undefined;
-  /** Whether this node takes over what only the zone's journal knows. @default it does not */
+  /** Whether this node recovers jobs that only the zone's journal has. @default it does not */
   readonly canRecover?: () => boolean;
 }
 
-/** An owner whose head was confirmed this recently may say that nothing more is listed. */
+/** Maximum age of the confirmation with which an owner reports that nothing more is listed. */
 const FRESH_CONFIRMATION: Milliseconds = 700;
 
-/** Time between two looks for jobs that may no longer lie here. */
+/** Interval between scans for jobs that this node may no longer store. */
 const PLACE_LOOK_INTERVAL: Milliseconds = 500;
 
-/** Time for the store to confirm a head that a reader waits for. */
+/** Timeout for confirming the ownership while a reader waits. */
 const VERIFY_LIMIT: Milliseconds = 400;
 
-/** Jobs are kept this much longer than asked, as clocks of machines may differ. */
+/** Added to the retention, since machine clocks differ. */
 const RETENTION_MARGIN: Milliseconds = 30_000;
 
-/** The jobs of a fleet, as one node serves them. */
+/** Serves the jobs of the fleet on one node. */
 export class JobService {
   private readonly owned: OwnedJobs;
   private readonly submissions: JobSubmissions;
@@ -72,20 +72,20 @@
     this.recovery = new JournalRecovery({ ...shared, journals, isWriterLive, mayRecover });
   }
 
-  /** Jobs that this node runs or ran. */
+  /** Jobs that this node owns, and recently closed ones. */
   ownedJobs(): readonly OwnedJob[] {
     return this.owned.all();
   }
 
   /**
-   * Takes a job in; `undefined` means that all of it is kept from now on. The node that is to run it
-   * takes it in, which is mostly another one.
+   * Has a job accepted; `undefined` means that the job is durably stored. The node that is to run the
+   * job accepts it, which is usually another one.
    */
   submit(spec: JobSpecification, wanted: StillWanted): Promise<Failure | undefined> {
     return this.admission.submit(spec, wanted);
   }
 
-  /** Takes a job in here, for another node. */
+  /** Accepts a job on this node for another node. */
   submitHere(
     spec: JobSpecification,
     wanted: StillWanted,
@@ -95,45 +95,45 @@
   }
 
   /**
-   * Takes over a job whose owner is gone, or answers and does not reach the store; tells whether it
-   * is run here now.
+   * Takes over a job whose owner has terminated, or answers but cannot reach the store; returns
+   * whether this node owns it now.
    */
   takeOver(job: string, found: VersionedHead, ownerAnswers = false): Promise<boolean> {
     return this.handover.adopt(job, found, ownerAnswers);
   }
 
-  /** Gives up a job that another node has taken over, with what was made of it here. */
+  /** Releases a job that another node has taken over; returns this node's unlisted work on it. */
   releaseTakenOver(job: string, zone?: ZoneName): Map<string, DigestedWork> {
     return this.owned.surrender(job, zone);
   }
 
-  /** Whether a job is being taken over here, and so has an owner that does not run it yet. */
+  /** Whether this node is taking over a job, and so owns it without running it yet. */
   isTakingOver(job: string): boolean {
     return this.handover.isAdopting(job);
   }
 
-  /** Takes a job that its owner has just released. */
+  /** Takes over a job that its owner has released. */
   takeReleased(job: string): Promise<boolean> {
     return this.handover.takeReleased(job);
   }
 
-  /** Gives all open jobs up for other nodes, and runs none any more. */
+  /** Releases all open jobs to other nodes, and runs none from now on. */
   release(wanted: StillWanted): Promise<void> {
     this.submissions.runNoMore();
     return this.handover.release(wanted);
   }
 
-  /** What this node kept of items, for another node. */
+  /** Cached work on items that a node of `zone` may receive. */
   cachedWorkOf(items: readonly string[], zone?: ZoneName): Map<string, DigestedWork> {
     return this.owned.keptWorkOf(items, zone);
   }
 
-  /** This machine may have been suspended. */
+  /** Called if this machine may have been suspended. */
   noteSuspended(): void {
     this.submissions.noteSuspended();
   }
 
-  /** Regular work of the jobs that this node runs. */
+  /** Periodic work on owned jobs. */
   tick(): void {
     this.owned.tick();
     const now = this.options.clock.now();
@@ -144,7 +144,7 @@
     void this.handover.moveMisplaced();
   }
 
-  /** Results from a position on; waits for the first where the job is run here. */
+  /** Results from position `after` on; an owner waits up to `wait` for the first one. */
   async read(
     job: string,
     after: number,
@@ -156,8 +156,8 @@
   }
 
   /**
-   * The same for a node that does not reach the store: what is read passes through here, so this node
-   * has to be one that may hold it.
+   * Reads for a node that does not reach the store. The results pass through this node, so it must be
+   * allowed to store the job.
    */
   async readForPeer(
     job: string,
@@ -169,7 +169,7 @@
     if (residency.limitsRegions && this.owned.answering(job) === undefined) {
       const read = await this.options.store.head(job);
       if (read.kind === 'unavailable') return storeSilent();
-      // Without a head it is not known where the job may lie: nobody is asked for it.
+      // Without a head the allowed regions are unknown, so no other node is queried.
       if (read.kind === 'absent') return this.absence(job);
       if (!residency.mayHoldHere(residency.regionsForOrigin(read.value.head))) return NOT_READ_HERE;
     }
@@ -180,7 +180,7 @@
     return (await this.options.reader.isSurelyAbsent(job)) ? NO_SUCH_JOB : storeSilent();
   }
 
-  /** The same by this node's own knowledge and the store's. */
+  /** Reads from this node's own jobs, the owner or the store. */
   async readHere(
     job: string,
     after: number,
@@ -221,7 +221,7 @@
     return bodyOrAbsent(items.find((entry) => entry.id === item)?.body);
   }
 
-  /** The body of an item of a job that this node runs or ran, for another node. */
+  /** The body of an item for another node, if this node owns or owned the job. */
   ownItemBody(job: string, item: string): PeerAnswers['item-body'] {
     const own = this.owned.get(job);
     if (own === undefined) return { isOwner: false };
@@ -229,7 +229,7 @@
     return { isOwner: true, tenant: own.spec.tenant, body };
   }
 
-  /** Takes a job over that another node found without an owner; tells whether it is run here. */
+  /** Takes over a job on request of another node; returns whether this node owns it now. */
   async takeOverFrom(job: string, owner: JobOwner, ownerAnswers: boolean): Promise<boolean> {
     const read = await this.options.store.head(job);
     if (read.kind !== 'found' || isFinished(read.value.head)) return false;
@@ -238,7 +238,7 @@
     return isTheirs && this.takeOver(job, read.value, ownerAnswers);
   }
 
-  /** Ends a job; `undefined` means that it has ended. */
+  /** Cancels a job; `undefined` means that it is cancelled. */
   async cancel(
     job: string,
     caller: CallerIdentity,
@@ -252,7 +252,7 @@
     return this.cancelHere(job, caller, wanted);
   }
 
-  /** The same by way of the store. */
+  /** Cancels a job on this node, at its owner or in the store. */
   async cancelHere(
     job: string,
     caller: CallerIdentity,
@@ -290,14 +290,14 @@
     return owner !== undefined && this.options.peers.cancelAtOwner(owner, job, caller);
   }
 
-  /** Another tenant learns nothing, not even that the job is there; only the log tells them apart. */
+  /** Hides a job from other tenants as if it did not exist; only the log shows the difference. */
   private refuse(job: string, tenant: TenantName | undefined, caller: CallerIdentity): Failure {
     const details = { job, tenant: tenant ?? 'none', caller: tenantNameOf(caller) ?? caller.kind };
     this.options.log.decision('job-access-refused', details);
     return NO_SUCH_JOB;
   }
 
-  /** Removes jobs whose results need not be kept any longer. */
+  /** Removes finished jobs whose retention has expired from the store. */
   async removeExpired(): Promise<void> {
     const { store, clock, log, retention } = this.options;
     const read = await store.heads();
@@ -310,7 +310,7 @@
     }
   }
 
-  /** Results of a job that this node runs, for another node. */
+  /** Results for another node, if this node can answer for the job. */
   async ownListing(
     job: string,
     after: number,
@@ -328,7 +328,7 @@
     return { isOwner: true, tenant, total, pages, results: results.slice(after), ...kept };
   }
 
-  /** Ends a job that this node runs; tells whether it has ended. */
+  /** Cancels a job that this node owns; returns whether it is cancelled. */
   async cancelOwn(job: string, caller: CallerIdentity): Promise<boolean> {
     const own = this.owned.get(job);
     if (own === undefined || !mayAccess(caller, own.spec.tenant)) return false;
@@ -347,11 +347,11 @@
     return sliceOf({ total: job.spec.items.length, results: job.results }, after);
   }
 
-  /** Waits for a result behind a position, or makes sure that there is none. */
+  /** Waits for a result from a position on, or confirms that there is none. */
   private async awaitFresh(job: OwnedJob, after: number, wait: Milliseconds): Promise<void> {
     if (after >= job.results.length && job.isOpen && wait > 0) await firstChange(job, wait);
     if (!isUnsure(job, after)) return;
-    // A commit that the store does not answer may hold the question up.
+    // The verification may be queued behind a commit that the store does not answer.
     await Promise.race([job.verifyNow(), this.options.clock.sleep(VERIFY_LIMIT)]);
   }
 }
@@ -359,7 +359,7 @@
 const NOT_READ_HERE = failure('region_unavailable', 'the job may not lie in this region');
 const NO_SUCH_JOB = failure('not_found', 'there is no such job');
 
-/** Whether something may be listed that this owner does not know of, as another owner has listed it. */
+/** Whether another owner may have listed results that this one does not have. */
 function isUnsure(job: OwnedJob, after: number): boolean {
   const isShort = after >= job.results.length && job.isOpen;
   return isShort && job.confirmationAge() > FRESH_CONFIRMATION;
@@ -376,7 +376,7 @@
   });
 }
 
-/** Waits until a job lists something or closes, or until the time is over. */
+/** Waits until a job lists results or closes, at most for `wait`. */
 function firstChange(job: OwnedJob, wait: Milliseconds): Promise<void> {
   return new Promise((resolve) => {
     const finish = (): void => {
--- a/src/jobs/job-store.ts
+++ b/src/jobs/job-store.ts
@@ -1,10 +1,9 @@
 /**
- * Batch jobs in the shared store. Each change of a job is one commit on the revision of its head,
- * so two nodes that both believe to run a job can never both list results: one commit wins and the
- * other node learns of it.
+ * Stores batch jobs in the shared store. Each change of a job is one commit conditional on the
+ * revision of its head, so of two nodes that both act as owner only one can list results.
  *
- * A commit whose answer is lost is repeated as it was. Its condition lets it take effect once at
- * most, and the change id in the head tells afterwards whether it did.
+ * A commit whose response is lost is retried unchanged. Its condition lets it take effect at most
+ * once, and the change id in the head shows whether it did.
  */
 import { randomUUID } from 'node:crypto';
 import type { Milliseconds, Revision } from '../core/units.js';
@@ -22,21 +21,21 @@
   type StoredProgress,
 } from './job-records.js';
 
-/** A head and the revision that it was read at. */
+/** A head and its revision in the store. */
 export interface VersionedHead {
   readonly head: JobHead;
   readonly revision: Revision;
 }
 
-/** Outcome of a change of a head. */
+/** Outcome of a conditional change of a head. */
 export type HeadChange =
   | { readonly kind: 'changed'; readonly current: VersionedHead }
-  /** Somebody else changed it first; `current` is undefined where the job is gone. */
+  /** Another node changed the head first; `current` is undefined if the job was removed. */
   | { readonly kind: 'superseded'; readonly current: VersionedHead | undefined }
   /** The store did not answer in time; with `mayBeDone` the change may still take effect. */
   | { readonly kind: 'unavailable'; readonly mayBeDone: boolean };
 
-/** What is added to a job. */
+/** Pages, and possibly a cancellation, that one commit adds to a job. */
 export interface JobExtension {
   readonly pages: readonly (readonly JobResult[])[];
   readonly ended: boolean;
@@ -48,27 +47,27 @@
   | { readonly kind: 'absent' }
   | { readonly kind: 'unavailable' };
 
-/** Whether a caller still waits; checked before each repetition. */
+/** Whether the operation was not cancelled; checked before each retry. */
 export type StillWanted = () => boolean;
 
-/** Pause before a commit is repeated: first, and at most. */
+/** Bounds of the exponential backoff between retries of a commit. */
 const FIRST_PAUSE: Milliseconds = 60;
 const LONGEST_PAUSE: Milliseconds = 500;
 
-/** Characters of a specification in one key: base64 makes 4 of 3, under 1 MiB together. */
+/** Characters of a specification in one key; base64 expands them to less than 1 MiB. */
 const PART_LENGTH = 600_000;
 
-/** Fields of a head that a change sets; the others are the store's own. */
+/** Fields of a head that callers set. */
 export type HeadFields = Omit<JobHead, 'changeId' | 'specificationParts'>;
 
-/** Reads and changes jobs. */
+/** Reads and changes jobs in the shared store. */
 export class JobStore {
   constructor(
     private readonly store: SharedStore,
     private readonly clock: Pick<Clock, 'sleep'>,
   ) {}
 
-  /** Makes a job; `superseded` says that it was there before. */
+  /** Creates a job; `superseded` means that it already exists. */
   create(spec: JobSpecification, head: HeadFields, wanted: StillWanted): Promise<HeadChange> {
     const text = JSON.stringify(spec);
     const puts: StorePut[] = [];
@@ -80,7 +79,7 @@
     return this.change(spec.id, ABSENT, whole, puts, wanted);
   }
 
-  /** Lists further results behind those of `base`. */
+  /** Lists one page of results after those of `base`. */
   append(
     job: string,
     base: VersionedHead,
@@ -91,7 +90,7 @@
     return this.extend(job, base, { pages: [results], ended: false }, progress, wanted);
   }
 
-  /** Lists further pages of results behind those of `base`, and ends the job if asked to. */
+  /** Lists pages of results after those of `base`, and cancels the job if requested. */
   extend(
     job: string,
     base: VersionedHead,
@@ -112,7 +111,7 @@
     return this.change(job, base.revision, { ...base.head, listed, pages, ended }, puts, wanted);
   }
 
-  /** Replaces the head of a job, and what is kept of unfinished items where given. */
+  /** Replaces fields of a job's head and, if given, the progress of unfinished items. */
   replace(
     job: string,
     base: VersionedHead,
@@ -134,7 +133,7 @@
     return { kind: 'found', value: { head, revision: outcome.item.revision } };
   }
 
-  /** Reads the heads of all jobs, by job. */
+  /** Reads the heads of all jobs, by job id. */
   async heads(): Promise<Read<ReadonlyMap<string, VersionedHead>>> {
     const outcome = await this.store.range(JOB_KEYS.heads);
     if (outcome.kind === 'failed') return { kind: 'unavailable' };
@@ -147,7 +146,7 @@
     return { kind: 'found', value: heads };
   }
 
-  /** Reads a job as it was submitted. */
+  /** Reads the specification of a job. */
   async specification(job: string): Promise<Read<JobSpecification>> {
     const outcome = await this.store.range(JOB_KEYS.specificationParts(job));
     if (outcome.kind === 'failed') return { kind: 'unavailable' };
@@ -156,7 +155,7 @@
     return spec === undefined ? { kind: 'unavailable' } : { kind: 'found', value: spec };
   }
 
-  /** Reads the results in pages from number `fromPage` on, in order of position. */
+  /** Reads the result pages from number `fromPage` on, in order. */
   async results(job: string, fromPage: number): Promise<Read<readonly (readonly JobResult[])[]>> {
     const after = fromPage === 0 ? undefined : JOB_KEYS.page(job, fromPage - 1);
     const outcome = await this.store.range(JOB_KEYS.pages(job), after);
@@ -167,7 +166,7 @@
     return { kind: 'found', value: readable };
   }
 
-  /** Reads what an earlier owner kept of unfinished items. */
+  /** Reads the stored progress of unfinished items. */
   async progress(job: string): Promise<Read<StoredProgress>> {
     const outcome = await this.store.get(JOB_KEYS.progress(job));
     if (outcome.kind === 'failed') return { kind: 'unavailable' };
@@ -175,7 +174,7 @@
     return progress === undefined ? { kind: 'absent' } : { kind: 'found', value: progress };
   }
 
-  /** Removes all that is kept of a job; the head goes last, so that a rest is found again. */
+  /** Removes all records of a job; the head last, so that an interrupted removal can be resumed. */
   async remove(job: string, base: VersionedHead): Promise<void> {
     const parts = base.head.specificationParts;
     const pages = Array.from({ length: base.head.pages }, (_, page) => JOB_KEYS.page(job, page));
@@ -215,7 +214,7 @@
     }
   }
 
-  /** After a conflict: whether the head is the one that was to be written. */
+  /** After a conflict: whether an earlier attempt of the same change took effect. */
   private async settle(job: string, written: JobHead): Promise<HeadChange | undefined> {
     const read = await this.head(job);
     if (read.kind === 'unavailable') return undefined;
@@ -225,7 +224,7 @@
   }
 }
 
-/** Keys that one commit removes at most. */
+/** Maximum number of keys that one commit removes. */
 const REMOVALS_A_COMMIT = 30;
 
 function progressPut(job: string, progress: StoredProgress): StorePut {
--- a/src/jobs/job-submissions.ts
+++ b/src/jobs/job-submissions.ts
@@ -1,6 +1,6 @@
 /**
- * Takes jobs in: stores them, and starts their items early where the store is slow. What has begun
- * to run is never refused as if it had not.
+ * Accepts jobs: stores them, and starts their items early if the store is slow. A job whose items
+ * have started is never rejected as if they had not.
  */
 import type { ZoneName } from '../core/identity.js';
 import type { Milliseconds } from '../core/units.js';
@@ -34,65 +34,64 @@
   readonly self: JobOwner;
   /** The zone of this node. */
   readonly zone: ZoneName;
-  /** Where zones serve their own callers: what takes jobs in while the store is silent. */
+  /** The zones' journals, which accept jobs while the store does not answer. */
   readonly journals?: ZoneJournals | undefined;
-  /** Whether a life of a node that claimed a job is still live. @default all are */
+  /** Whether the node incarnation that claimed a job is live. @default all are */
   readonly isWriterLive?: (writer: string) => boolean;
   readonly residency: JobResidency;
 }
 
-/** A submission that the store has not settled yet. */
+/** A submission whose outcome is pending. */
 interface SubmissionUnderWay {
   readonly tenant: TenantName | undefined;
   readonly outcome: Promise<Failure | undefined>;
 }
 
 /**
- * Time for the other zones to say that they do not have a job. After a loss of all power replicas were
- * registered within 0.5 s of the first gateways' start (two plays); this is some times as much. A cut
- * of a zone lasts longer and is not waited for.
+ * Time for the other zones to confirm that they do not have a job. Long enough for journal replicas
+ * to register after a full restart; a zone partition is not waited out.
  */
 const ZONES_ANSWER_LIMIT: Milliseconds = 3_000;
 const ZONES_RETRY_PAUSE: Milliseconds = 200;
 
-/** How a job is taken in. */
+/** Conditions under which a job is accepted. */
 interface AdmittedJob {
-  /** Who is to run it; `null` where this node stops and another one is to. */
+  /** The future owner; `null` if this node is stopping and another one must take the job. */
   readonly owner: JobOwner | null;
-  /** Its zone's journal, claimed; `undefined` where there is none. */
+  /** The zone's journal, claimed for this job; `undefined` if there is none. */
   readonly journal: JobJournal | undefined;
-  /** Whether it follows a step that was taken in here, and so is at no other zone. */
+  /** Whether the job follows a step that this node accepted, and so is in no other zone. */
   readonly isNextStep: boolean;
-  /** Whether it was handed in where it may not lie, and so its trainer's steps are at several zones. */
+  /** Whether it was submitted in a region that may not store it; several zones may get its steps. */
   readonly isFromOutside: boolean;
 }
 
-/** A store that has not taken a job after this time no longer holds up its items. */
+/** Time after which items start although the store has not accepted their job. */
 const EARLY_START_DELAY: Milliseconds = 100;
 
-/** Submissions at one node. */
+/** Accepts submitted jobs on this node. */
 export class JobSubmissions {
-  /** Whether this node stops: it takes jobs in, but runs none any more. */
+  /** Whether this node is stopping: it accepts jobs only for other nodes to run. */
   private isReleasing = false;
   private readonly steps = new TrainerSteps();
-  /** Submissions that the store has not settled yet, by job. */
+  /** Pending submissions by job id, so that a repeated submission shares the outcome. */
   private readonly underWay = new Map<string, SubmissionUnderWay>();
 
   constructor(private readonly options: JobSubmissionsOptions) {}
 
-  /** From now on jobs are stored for other nodes to run. */
+  /** Stores jobs only for other nodes to run from now on. */
   runNoMore(): void {
     this.isReleasing = true;
   }
 
-  /** This machine may have been suspended, and its callers served in another zone meanwhile. */
+  /** Called if this machine may have been suspended while another zone served its callers. */
   noteSuspended(): void {
     this.steps.forget();
   }
 
   /**
-   * Takes a job in; `undefined` means that all of it is kept from now on. One that was handed in where
-   * it may not lie can be passed to any zone of its regions, and none of these takes it in alone.
+   * Accepts a job; `undefined` means that the job is durably stored. A job `isFromOutside` its allowed
+   * regions may be forwarded to any zone of these, so no zone accepts it by its journal alone.
    */
   async submit(
     spec: JobSpecification,
@@ -122,12 +121,12 @@
     if (!isNextStep && !(await this.isUnknownToOtherZones(spec.id, wanted))) {
       return this.answerAsKnown(spec);
     }
-    // While the other zones were asked, a node of this one may have taken the job in.
+    // Another node of this zone may have accepted the job during the queries.
     if (!isNextStep && (await isLost(journal))) return this.answerAsKnown(spec);
     return this.create(spec, { owner, journal, isNextStep, isFromOutside }, wanted);
   }
 
-  /** Makes a job in the store, or while that is silent in the zone's journal. */
+  /** Creates a job in the store or, while that does not answer, in the zone's journal. */
   private async create(
     spec: JobSpecification,
     { owner, journal, isNextStep, isFromOutside }: AdmittedJob,
@@ -163,7 +162,7 @@
     const present = change.kind === 'superseded' ? change.current : undefined;
     if (present !== undefined) return belongsElsewhere(spec, present.head.tenant);
     if (change.kind !== 'unavailable') return undefined;
-    // What has begun to run must not be answered as if it had not.
+    // A job whose items have started must not be reported as not run.
     if (change.mayBeDone || early !== undefined) {
       return failure('outcome_unknown', 'the job may have been stored');
     }
@@ -173,10 +172,9 @@
   }
 
   /**
-   * The zone's journal of a new job, claimed for this node: another node of the zone that was handed
-   * the same job, and does not reach the store, can then not take it in too. One that has claimed it
-   * and kept nothing has told nobody that it took it in, and may have ended since; one that lives may
-   * yet do so, as it waits for the store or for the other zones.
+   * Claims the zone's journal of a new job, so that no other node of the zone can accept the same job
+   * without the store. A claim without entries whose writer has terminated is taken over, because that
+   * writer confirmed the job to nobody; a live writer may still accept it.
    */
   private async openJournal(job: string): Promise<JobJournal | 'held-elsewhere' | undefined> {
     const { journals, isWriterLive = () => true } = this.options;
@@ -193,8 +191,8 @@
   }
 
   /**
-   * The store made a job for this node while another one of its zone claimed it, and may have told its
-   * caller more: a node that takes it over by its journal goes on with that.
+   * Releases a job that the store created for this node although another node of the zone holds the
+   * claim and may have listed results. A node that takes the job over continues from the journal.
    */
   private async passToHolder(
     { id }: JobSpecification,
@@ -211,8 +209,8 @@
   }
 
   /**
-   * Whether no other zone has taken a job in that the store may not know. A caller may repeat at any
-   * node what a zone has taken in by itself. Zones that do not answer are asked again for a while.
+   * Whether no other zone has accepted a job that the store may not have, since callers may retry a
+   * submission at any node. Zones that do not answer are queried again until a timeout.
    */
   private async isUnknownToOtherZones(job: string, wanted: StillWanted): Promise<boolean> {
     const { journals, clock } = this.options;
@@ -226,14 +224,14 @@
     }
   }
 
-  /** The answer to a job that another node may have taken in: only the store tells that it has. */
+  /** Response to a job that another node may have accepted; only the store can confirm that. */
   private async answerAsKnown(spec: JobSpecification): Promise<Failure | undefined> {
     const read = await this.options.store.head(spec.id);
     if (read.kind !== 'found') return TAKEN_ELSEWHERE;
     return belongsElsewhere(spec, read.value.head.tenant);
   }
 
-  /** Keeps a job in the zone's journal until the store has it; tells whether the journal does. */
+  /** Stores a job in the zone's journal until the store has it; returns whether it is journaled. */
   private async takeInByJournal(
     job: OwnedJob,
     journal: JobJournal,
@@ -264,7 +262,7 @@
     return false;
   }
 
-  /** The store has settled a job that the zone's journal keeps. */
+  /** Handles the store's outcome for a job that the zone's journal has accepted. */
   private settleJournaled(job: OwnedJob, journal: JobJournal, change: HeadChange): void {
     const { spec } = job;
     this.noteSubmitted(spec, change, ageOf(spec, this.options.clock.wallTime()));
@@ -277,7 +275,7 @@
     job.abandon();
   }
 
-  /** Runs a job's items while a slow or silent store has not taken it yet; nothing is listed. */
+  /** Runs a job's items while the store has not accepted it yet; no results are listed. */
   private async startEarly(
     spec: JobSpecification,
     creation: Promise<HeadChange>,
@@ -321,14 +319,14 @@
     return peers.offerReleased(spec.id, residency.regionsForSpec(spec));
   }
 
-  /** What nodes of the zone kept of the items of a later step. */
+  /** Work that other nodes have cached on the items; a trainer's first step has none. */
   private async keptElsewhere(spec: JobSpecification): Promise<ReadonlyMap<string, DigestedWork>> {
     if (spec.step === 0) return new Map();
     return this.options.peers.cachedWork(spec.items.map((item) => item.id));
   }
 }
 
-/** Whether another node has claimed a job since this one did; a journal that is not there is not lost. */
+/** Whether another node has claimed the job since; false without a journal. */
 async function isLost(journal: JobJournal | undefined): Promise<boolean> {
   return journal !== undefined && (await journal.append([])) === 'lost';
 }
@@ -336,7 +334,7 @@
 const NOT_IN_THIS_REGION = failure('region_unavailable', 'the job may not lie in this region');
 const TAKEN_ELSEWHERE = failure('outcome_unknown', 'another node may have taken the job');
 
-/** Refuses a job whose id names one of another tenant's, without telling that it is there. */
+/** Rejects a job whose id another tenant uses, without revealing that job. */
 export function belongsElsewhere(
   spec: JobSpecification,
   tenant: TenantName | undefined,
@@ -345,7 +343,7 @@
   return failure('not_found', 'the id is not usable');
 }
 
-/** The head of a job that its owner is to run; without one it is offered to another node. */
+/** The head of a new job; without an owner, the job is offered to another node. */
 function firstHead(
   spec: JobSpecification,
   owner: JobOwner | null,
--- a/src/jobs/journal-recovery.ts
+++ b/src/jobs/journal-recovery.ts
@@ -1,7 +1,7 @@
 /**
- * Takes over what only the zone's journal knows and whose owner has ended: jobs that were taken in
- * while the store was out of reach, and results of jobs that ended in the store before it had them.
- * Jobs that go on are found by their heads in the store.
+ * Recovers journal entries whose owner has terminated: jobs that were accepted while the store was
+ * unreachable, and results of jobs that were cancelled in the store before it had them. Open jobs in
+ * the store are taken over through their heads instead.
  */
 import type { Milliseconds } from '../core/units.js';
 import type { JobJournal } from '../journal/job-journal.js';
@@ -16,10 +16,7 @@
 import type { JobStore, VersionedHead } from './job-store.js';
 import type { OwnedJobs } from './owned-jobs.js';
 
-/**
- * Time between two looks. An owner that ended is replaced within seconds in the store; this is for
- * what the store never heard of.
- */
+/** Interval between scans, which find only jobs and results that the store does not have. */
 const LOOK_INTERVAL: Milliseconds = 3_000;
 
 /** Options of {@link JournalRecovery}. */
@@ -32,20 +29,20 @@
   readonly self: JobOwner;
   readonly log: DecisionLog;
   readonly metrics: FleetMetrics;
-  /** Whether a life of a node that wrote to the journal is still live. */
+  /** Whether the node incarnation that wrote to the journal is live. */
   readonly isWriterLive: (writer: string) => boolean;
-  /** Whether this node is one that runs jobs, and reaches the store. */
+  /** Whether this node runs jobs and reaches the store. */
   readonly mayRecover: () => boolean;
 }
 
-/** Looks for jobs that nobody runs any more and the store does not know. */
+/** Scans the zone's journals for jobs without a live owner. */
 export class JournalRecovery {
   private isLooking = false;
   private nextLookAt: Milliseconds = 0;
 
   constructor(private readonly options: JournalRecoveryOptions) {}
 
-  /** Regular work. */
+  /** Starts a scan if one is due. */
   tick(now: Milliseconds): void {
     if (now < this.nextLookAt || this.isLooking || !this.options.mayRecover()) return;
     this.nextLookAt = now + LOOK_INTERVAL;
@@ -55,7 +52,7 @@
     });
   }
 
-  /** Takes over what has no live owner. */
+  /** Recovers all journaled jobs that have no live owner. */
   async look(): Promise<void> {
     const { journals, owned, isWriterLive } = this.options;
     for (const holder of await journals.unsyncedHolders()) {
@@ -69,7 +66,7 @@
     const read = await store.head(holder.job);
     if (read.kind === 'unavailable') return;
     const head = read.kind === 'found' ? read.value.head : undefined;
-    // A job that goes on is taken over by its head, with what its journal holds.
+    // An open job is taken over through its head, together with its journal.
     if (head !== undefined && !isFinished(head)) return;
     const journal = journals.open(holder.job, journals.replicasInOwnZone(), holder.term + 1);
     const claim = await journal.claim();
@@ -78,7 +75,7 @@
     else await this.adopt(journal, claim.entries);
   }
 
-  /** A job has ended in the store before the store had all that was told of it. */
+  /** Lists journaled results of a job that was cancelled in the store before it had them. */
   private async completeListing(
     journal: JobJournal,
     entries: readonly JournalEntry[],
@@ -87,7 +84,7 @@
     const { store, journals, log } = this.options;
     const { replicas = [], pages: stored } = found.head;
     const own = new Set(journals.replicasInOwnZone().map(({ disk }) => disk));
-    // Entries of a journal that is not the job's were never its results.
+    // Entries in replicas that the job's head does not name are not results of the job.
     const isOfJob = replicas.some(({ disk }) => own.has(disk));
     const changes = isOfJob ? changesBeyond(entries, stored) : [];
     const pages = changes.flatMap((change) => (change.kind === 'page' ? [change.results] : []));
--- a/src/jobs/listing-writer.ts
+++ b/src/jobs/listing-writer.ts
@@ -1,10 +1,10 @@
 /**
- * Writes what changes of a job (pages of results, and its end) in order: to the shared store, and
- * while that does not answer also to the zone's journal. A change holds once either has it, and is
- * the same in both, so what was told by the journal is what the store will tell.
+ * Writes the changes of a job (result pages and cancellation) in order: to the shared store and,
+ * while that does not answer, also to the zone's journal. A change is durable once either has it, and
+ * is identical in both.
  *
- * A commit that the store does not answer is repeated until it is settled, whoever waits for it;
- * further changes queue behind it and go together in the next one.
+ * A commit that the store does not answer is retried until it is settled; later changes queue behind
+ * it and are batched into the next commit.
  */
 
 import type { Milliseconds } from '../core/units.js';
@@ -15,19 +15,19 @@
 import type { JobResult, StoredProgress } from './job-records.js';
 import type { HeadChange, JobStore, VersionedHead } from './job-store.js';
 
-/** One change of a job. */
+/** A result page, or the cancellation of the job. */
 export type ListingChange = Exclude<JournalEntry, { kind: 'created' }>;
 
 /**
- * Time after which the journal is written to beside the store: an answer of the store takes some
- * milliseconds on a calm day, and the zone's disks are not to be troubled then.
+ * Time without an answer of the store after which the journal is written too. The store usually
+ * answers within milliseconds, so that the zone's disks are not used.
  */
 export const JOURNAL_DELAY: Milliseconds = 150;
 
-/** Pause before replicas that did not all keep a change are asked again. */
+/** Delay before a change that not enough replicas stored is written to them again. */
 export const JOURNAL_RETRY_PAUSE: Milliseconds = 150;
 
-/** Pages that one commit holds at most: four of 400 KB are within what a store takes. */
+/** Maximum pages in one commit; four pages of 400 KB are below the store's request limit. */
 const MOST_PAGES_A_COMMIT = 4;
 
 /** Options of {@link ListingWriter}. */
@@ -35,25 +35,25 @@
   readonly job: string;
   readonly store: JobStore;
   readonly clock: Pick<Clock, 'sleep'>;
-  /** The zone's journal of the job; `undefined` where it has none. */
+  /** The zone's journal of the job; `undefined` if there is none. */
   readonly journal: JobJournal | undefined;
   readonly metrics: FleetMetrics;
-  /** What was made of unfinished items, kept with each commit. */
+  /** Progress of unfinished items, stored with each commit. */
   readonly progress: () => StoredProgress;
-  /** Whether commits are still to be repeated that only the store would keep. */
+  /** Whether to keep retrying commits whose changes are not journaled. */
   readonly isWanted: () => boolean;
-  /** Whether a change by another node leaves this one the owner of all that is listed. */
+  /** Whether this node is still the owner, with all listed pages, after another node's change. */
   readonly isOwnChange: (change: HeadChange) => boolean;
-  /** The head has changed in the store, by this node or another. */
+  /** Called when this node or another has changed the head in the store. */
   readonly noteHead: (change: HeadChange) => void;
 }
 
-/** A change on its way. */
+/** A change that the store does not have yet. */
 interface QueuedChange {
   readonly change: ListingChange;
-  /** Whether the journal has it, so that the store must get it. */
+  /** Whether the journal has the change, so that the store must receive it. */
   isJournaled: boolean;
-  /** Whether either has it, or neither ever will. */
+  /** Whether the outcome is known: durable in the journal or the store, or dropped. */
   isSettled: boolean;
   readonly settle: (holds: boolean) => void;
 }
@@ -64,35 +64,35 @@
   private isFlushing = false;
   private isEnded = false;
 
-  /** `head` is undefined while the store has not taken the job. */
+  /** `current` is undefined until the store has the job. */
   constructor(
     private readonly options: ListingWriterOptions,
     private current: VersionedHead | undefined,
   ) {}
 
-  /** The head as this node last saw it in the store. */
+  /** The head as this node last read or wrote it in the store. */
   get head(): VersionedHead | undefined {
     return this.current;
   }
 
-  /** Whether changes are on their way to the store. */
+  /** Whether changes are queued for the store. */
   get isBusy(): boolean {
     return this.queue.length > 0;
   }
 
-  /** Pages, with those that only the journal has yet. */
+  /** Number of pages, including queued ones. */
   get pages(): number {
     const queued = this.queue.filter(({ change }) => change.kind === 'page').length;
     return (this.current?.head.pages ?? 0) + queued;
   }
 
-  /** The store has the job, or another node changed its head. */
+  /** Sets the head after the store has accepted the job or another node has changed it. */
   take(head: VersionedHead): void {
     this.current = head;
     void this.flush();
   }
 
-  /** Changes that the journal kept for an earlier owner and the store lacks. */
+  /** Queues changes that an earlier owner journaled and the store lacks. */
   resume(changes: readonly ListingChange[]): void {
     for (const change of changes) {
       this.queue.push({ change, isJournaled: true, isSettled: true, settle: () => {} });
@@ -100,17 +100,17 @@
     void this.flush();
   }
 
-  /** Lists results behind all others; resolves with whether that holds. */
+  /** Lists a page of results after all others; resolves with whether it is durable. */
   list(results: readonly JobResult[]): Promise<boolean> {
     return this.write({ kind: 'page', number: this.pages, results: [...results] });
   }
 
-  /** Ends the job; resolves with whether that holds. */
+  /** Cancels the job; resolves with whether the cancellation is durable. */
   end(): Promise<boolean> {
     return this.write({ kind: 'ended' });
   }
 
-  /** Whether the zone's journal shows that no other node runs the job. */
+  /** Whether the zone's journal confirms that no other node has claimed the job. */
   async isConfirmedByJournal(): Promise<boolean> {
     return (await this.options.journal?.append([])) === 'kept';
   }
@@ -133,7 +133,7 @@
     });
   }
 
-  /** Keeps a change in the journal if the store has not taken it after a while. */
+  /** Writes a change to the journal if the store has not accepted it after a delay. */
   private async journalWhileSilent(queued: QueuedChange): Promise<void> {
     const { journal, clock, metrics } = this.options;
     if (journal === undefined) return;
@@ -142,7 +142,7 @@
       const outcome = await journal.append([queued.change]);
       if (outcome === 'lost') return;
       if (outcome === 'kept' && queued.isSettled) {
-        // The store was quicker after all.
+        // The store accepted the change in the meantime.
         void journal.release([queued.change]);
         return;
       }
@@ -156,7 +156,7 @@
     }
   }
 
-  /** Commits what is queued, as long as the store takes it. */
+  /** Commits queued changes in batches until the queue is empty or the job is lost. */
   private async flush(): Promise<void> {
     if (this.isFlushing) return;
     this.isFlushing = true;
@@ -199,7 +199,7 @@
     const isOwn = this.options.isOwnChange(change);
     this.options.noteHead(change);
     if (change.kind === 'superseded' && change.current !== undefined) this.current = change.current;
-    // Another node may have ended the job meanwhile; what was told of it follows all the same.
+    // Even if another node has cancelled the job, journaled results must reach the store.
     const told = isOwn ? this.queue.filter(({ isJournaled }) => isJournaled) : [];
     for (const queued of this.queue.splice(0, this.queue.length, ...told)) {
       if (!queued.isJournaled) queued.settle(false);
@@ -208,7 +208,7 @@
   }
 }
 
-/** What some changes add to a job in the store. */
+/** Combines changes into one extension of the job. */
 function extensionOf(changes: readonly ListingChange[]): {
   readonly pages: readonly (readonly JobResult[])[];
   readonly ended: boolean;
--- a/src/jobs/owned-item.ts
+++ b/src/jobs/owned-item.ts
@@ -1,4 +1,4 @@
-/** Where one item of a job stands at the node that runs the job. */
+/** State of one item on the node that owns its job. */
 import type { Milliseconds } from '../core/units.js';
 import { FingerprintedRequest } from '../serving/request-fingerprint.js';
 import { ItemProgress, type VersionRule } from './item-progress.js';
@@ -7,36 +7,36 @@
 import type { JobItem, JobResult, JobSpecification } from './job-records.js';
 
 /**
- * `waiting` to be sent to a worker, `running` at one, `unscored`: its text is whole and its score
- * is missing, `done`: its result is known.
+ * `waiting`: to be sent to a worker; `running`: on a worker; `unscored`: the text is complete, the
+ * score is missing; `done`: the result is known.
  */
 export type OwnedItemState = 'waiting' | 'running' | 'unscored' | 'done';
 
-/** One item. */
+/** An item with its progress, runs and score calls. */
 export interface OwnedItem {
   readonly item: JobItem;
   readonly progress: ItemProgress;
-  /** What its runs ask of workers; the same at each node that runs the job, and in a later job. */
+  /** The request of its runs, for crash attribution; identical on every owner and in later jobs. */
   readonly asked: FingerprintedRequest;
   state: OwnedItemState;
   run: ItemRun | undefined;
-  /** Not sent again before this time. */
+  /** Earliest time of the next run. */
   notBefore: Milliseconds;
-  /** Answers that said the attempt failed. */
+  /** Number of responses that reported a failed attempt. */
   failedAttempts: number;
-  /** Times that a run was ended to go on at a faster worker. */
+  /** Number of times that a run was moved to another worker. */
   moves: number;
-  /** Whether its last run ended without a byte of an answer, perhaps on a connection gone silent. */
+  /** Whether the last run ended before any response byte, possibly on a dead connection. */
   wasUnanswered: boolean;
-  /** Whether it was moved to a worker that is somewhat faster. */
+  /** Whether a run was already moved because another worker was moderately faster. */
   hasGoneFaster: boolean;
-  /** The whole text without its score; only while `unscored`. */
+  /** The complete text without its score; only while `unscored`. */
   text: JobResult | undefined;
-  /** The calls for its score; only while `unscored`. */
+  /** The score calls; only while `unscored`. */
   scoring: ItemScoring | undefined;
 }
 
-/** An item of which nothing was made yet. */
+/** Creates an item without progress. */
 export function newOwnedItem(
   item: JobItem,
   rule: VersionRule,
@@ -65,12 +65,12 @@
   };
 }
 
-/** Whether its text is still to be made, whole or in part. */
+/** Whether the text of an item is incomplete. */
 export function lacksText({ state }: OwnedItem): boolean {
   return state === 'waiting' || state === 'running';
 }
 
-/** Ends whatever is under way for an item. */
+/** Cancels the run and the score calls of an item. */
 export function cancelWork(entry: OwnedItem): void {
   entry.run?.cancel();
   entry.scoring?.cancel();
--- a/src/jobs/owned-job.ts
+++ b/src/jobs/owned-job.ts
@@ -1,6 +1,6 @@
 /**
- * A job that this node runs: its items, what is made of them, and the results that are listed.
- * Losing the job's head to another node ends the ownership.
+ * A job that this node owns: its items, their progress and the listed results. The ownership ends
+ * when another node changes the owner in the job's head.
  */
 import { Subject } from 'rxjs';
 import type { Milliseconds } from '../core/units.js';
@@ -13,21 +13,21 @@
 import { cancelWork, lacksText, newOwnedItem, type OwnedItem } from './owned-item.js';
 import { storableProgress } from './value-limits.js';
 
-/** Share of the items still open below which those under way are the longest of the job. */
+/** Share of incomplete items below which the remaining runs count as the job's longest. */
 const LONGEST_SHARE = 0.5;
 
 /**
- * Age of the last confirmation beyond which nothing is sent: an ended job's items may reach workers for
- * 3 s, and a confirmation is due each 1.2 s. A node with an eighth of a core once fell 3.2 s behind.
+ * Age of the last ownership confirmation above which no items are sent. Items may reach workers for
+ * at most 3 s after the job's cancellation, and the ownership is verified every 1.2 s.
  */
 const MOST_UNCONFIRMED: Milliseconds = 2_000;
 
-/** One job that this node runs. */
+/** A job that this node owns. */
 export class OwnedJob {
-  /** Mean of the guessed lengths of its items; at least 1. */
+  /** Mean expected length of the items in tokens; at least 1. */
   readonly meanExpectedLength: number;
   readonly items = new Map<string, OwnedItem>();
-  /** Fires when results were listed or the ownership ended. */
+  /** Emits after results are listed and when the job closes. */
   readonly changed = new Subject<void>();
   private readonly listing: JobListing;
   private endReason: OwnershipEnd | undefined;
@@ -61,7 +61,7 @@
     this.listing.resume();
   }
 
-  /** Takes over what was made of an item before, if its weights fit. */
+  /** Restores earlier work on an item if its weight versions fit. */
   private takeOver(entry: OwnedItem, kept: ItemWork | undefined, rule: VersionRule): void {
     if (kept?.kind === 'unfinished' && entry.progress.restore(kept.progress)) {
       if (entry.progress.isWhole) this.completeText(entry);
@@ -70,17 +70,17 @@
     this.finish(entry, kept.result);
   }
 
-  /** Whether items of it may be sent to workers. */
+  /** Whether this node runs the job's items. */
   get isOpen(): boolean {
     return this.endReason === undefined;
   }
 
-  /** Whether items are run, or the store still lacks something of it that was told. */
+  /** Whether this node runs items or still has listed changes to store. */
   get isActive(): boolean {
     return this.isOpen || this.listing.isUnsettled;
   }
 
-  /** Why it is no longer run here. */
+  /** Why this node no longer runs the job; `undefined` while it does. */
   get ending(): OwnershipEnd | undefined {
     return this.endReason;
   }
@@ -90,84 +90,84 @@
     return this.listing.results;
   }
 
-  /** All results, also those that are not listed yet. */
+  /** All results, including unlisted ones. */
   finishedResults(): JobResult[] {
     return [...this.listing.results, ...this.listing.unlisted];
   }
 
-  /** Results that no commit is known to have listed. */
+  /** Results that are not confirmed as listed. */
   unlistedResults(): readonly JobResult[] {
     return [...this.listing.unlisted];
   }
 
-  /** The head as this node last saw it; `undefined` while the store has not taken the job. */
+  /** The last known head; `undefined` until the store has the job. */
   get head(): VersionedHead | undefined {
     return this.listing.head;
   }
 
-  /** Pages of all listed results, as the store has them or will have. */
+  /** Number of listed pages, including those that only the journal has so far. */
   get pages(): number {
     return this.listing.pages;
   }
 
-  /** The store has taken the job: results may be listed from now on. */
+  /** Enables listing after the store has accepted the job. */
   attach(head: VersionedHead): void {
     this.listing.attach(head);
   }
 
-  /** The zone's journal has taken the job, and the store not yet: results may be listed. */
+  /** Enables listing after the zone's journal has accepted the job, ahead of the store. */
   attachByJournal(): void {
     this.listing.attachByJournal();
   }
 
-  /** The job is not this node's after all. */
+  /** Closes a job that this node does not own, or no longer owns. */
   abandon(): void {
     this.close('superseded');
   }
 
-  /** Another node has ended the job, which this one could not do. */
+  /** Closes the job after another node has cancelled it for this one. */
   noteEnded(): void {
     this.close('ended-elsewhere');
   }
 
-  /** Whether the job has ended, so that nobody runs it any more. */
+  /** Whether the job is cancelled. */
   get hasEnded(): boolean {
     return this.endReason === 'ended' || this.endReason === 'ended-elsewhere';
   }
 
-  /** Whether what this node listed is all that was listed, as far as it knows. */
+  /** Whether this node has all listed results, as far as it knows. */
   get mayAnswer(): boolean {
     return this.isOpen || this.endReason === 'finished' || this.endReason === 'ended';
   }
 
-  /** Time since it was last confirmed that the job is this node's. */
+  /** Time since the ownership of the job was last confirmed. */
   confirmationAge(): Milliseconds {
     return this.listing.confirmationAge();
   }
 
   /**
-   * Whether another node may have ended the job, or taken it over, without this one having heard:
-   * nothing more of it is sent then until the head is confirmed.
+   * Whether another node may have cancelled the job or taken it over unnoticed. No items are sent
+   * until the ownership is confirmed.
    */
   get isDoubtful(): boolean {
     return this.confirmationAge() > MOST_UNCONFIRMED;
   }
 
-  /** Items that wait to be sent. */
+  /** Items that may be sent now. */
   waiting(now: Milliseconds): OwnedItem[] {
     return [...this.items.values()].filter(
       (entry) => entry.state === 'waiting' && entry.notBefore <= now,
     );
   }
 
-  /** Whether most items are done and all others are under way. */
+  /** Whether most texts are complete and all others are running. */
   get isClosing(): boolean {
     const open = [...this.items.values()].filter(lacksText);
     const isMostDone = open.length <= this.spec.items.length * LONGEST_SHARE;
     return isMostDone && open.every((entry) => entry.state === 'running');
   }
 
-  /** The text of an item is whole: its result is known, or only its score is missing. */
+  /** Finishes an item whose text is complete, or marks it as unscored. */
   completeText(entry: OwnedItem): void {
     entry.progress.markWhole();
     const text = entry.progress.toResult(entry.item.id);
@@ -180,7 +180,7 @@
     entry.text = text;
   }
 
-  /** Takes the result of an item; it is listed with the next commit. */
+  /** Sets the result of an item and queues it for listing. */
   finish(entry: OwnedItem, result: JobResult): void {
     if (entry.state === 'done') return;
     entry.state = 'done';
@@ -190,28 +190,28 @@
     this.listing.add(result);
   }
 
-  /** Does what is due: lists results, or confirms the head. Called often; changes in turn. */
+  /** Lists pending results or verifies the ownership, whichever is due. */
   advance(): void {
     if (this.isOpen) this.listing.advance();
   }
 
-  /** Ends the job for good; resolves with whether that is kept. */
+  /** Cancels the job; resolves with whether the cancellation is stored. */
   end(wanted: StillWanted): Promise<boolean> {
     return this.listing.end(wanted);
   }
 
-  /** Whether its end is for this node to keep: it runs the job, or has listed all of it. */
+  /** Whether this node can cancel the job: it runs the job, or has listed all results. */
   get mayBeEnded(): boolean {
     return this.isOpen || this.endReason === 'finished';
   }
 
-  /** Gives the job up for another node to take, with what was made of its items. */
+  /** Stops all runs and releases the job, with the progress of its items, for another node. */
   release(wanted: StillWanted): Promise<void> {
     this.stopRuns();
     return this.listing.release(wanted);
   }
 
-  /** Makes sure now that the job is still run here. */
+  /** Verifies the ownership of the job now. */
   verifyNow(): Promise<void> {
     return this.listing.verifyNow();
   }
@@ -227,12 +227,12 @@
     for (const entry of this.items.values()) cancelWork(entry);
   }
 
-  /** Items whose texts are whole and lack their scores. */
+  /** Items whose texts are complete and lack their scores. */
   unscored(): OwnedItem[] {
     return [...this.items.values()].filter((entry) => entry.state === 'unscored');
   }
 
-  /** What was made of unfinished items, so that another node can go on from there. */
+  /** Progress of unfinished items, from which another node can continue. */
   keptProgress(): StoredProgress {
     const kept: StoredProgress = {};
     for (const [id, entry] of this.items) {
--- a/src/jobs/owned-jobs.ts
+++ b/src/jobs/owned-jobs.ts
@@ -1,4 +1,4 @@
-/** The jobs that this node runs or ran, and the work that it kept of them. */
+/** Tracks the jobs that this node owns or owned, and caches work of cancelled ones. */
 import type { ZoneName } from '../core/identity.js';
 import type { ZoneJournals } from '../journal/zone-journals.js';
 import {
@@ -42,16 +42,16 @@
   /** The zone of this node. */
   readonly zone: ZoneName;
   readonly routes: () => RouteMatcher | undefined;
-  /** The zones' journals, where zones serve their own callers. */
+  /** The zones' journals, if zones accept jobs without the store. */
   readonly journals?: ZoneJournals | undefined;
-  /** Which nodes may hold a job. @default all */
+  /** Which nodes may store a job. @default all */
   readonly residency?: JobResidency | undefined;
 }
 
-/** Jobs that are finished and still kept in memory by the node that ran them. */
+/** Number of closed jobs that are retained in memory. */
 const KEPT_FINISHED_JOBS = 24;
 
-/** Jobs by id. */
+/** The owned jobs, by id. */
 export class OwnedJobs {
   private readonly jobs = new Map<string, OwnedJob>();
   private readonly kept: ItemWorkCache;
@@ -62,23 +62,23 @@
     this.kept = new ItemWorkCache(options.clock);
   }
 
-  /** All of them. */
+  /** All owned and retained jobs. */
   all(): readonly OwnedJob[] {
     return [...this.jobs.values()];
   }
 
-  /** A job that this node runs or ran. */
+  /** A job that this node owns or owned. */
   get(job: string): OwnedJob | undefined {
     return this.jobs.get(job);
   }
 
-  /** A job that this node may answer for. */
+  /** A job whose results this node can serve from memory. */
   answering(job: string): OwnedJob | undefined {
     const own = this.jobs.get(job);
     return own?.mayAnswer === true ? own : undefined;
   }
 
-  /** Runs a job from now on. */
+  /** Adds a job and runs its items. */
   own(
     spec: JobSpecification,
     head: VersionedHead,
@@ -92,7 +92,7 @@
     if (!isFinished(head.head)) this.options.dispatcher.add(job);
   }
 
-  /** Runs the items of a job that the store has not taken yet; nothing is listed. */
+  /** Runs the items of a job that is not stored yet; no results are listed. */
   startEarly(
     spec: JobSpecification,
     kept: ReadonlyMap<string, ItemWork>,
@@ -103,25 +103,25 @@
     return job;
   }
 
-  /** The store has taken a job that was started early. */
+  /** Adds a job that was started early, after the store has accepted it. */
   keepEarly(job: OwnedJob, head: VersionedHead): void {
     job.attach(head);
     this.jobs.set(job.spec.id, job);
   }
 
-  /** The zone's journal has taken a job that was started early. */
+  /** Adds a job that was started early, after the zone's journal has accepted it. */
   keepJournaled(job: OwnedJob): void {
     job.attachByJournal();
     this.jobs.set(job.spec.id, job);
   }
 
-  /** Regular work of the jobs that this node runs. */
+  /** Periodic work on owned jobs. */
   tick(): void {
     for (const job of this.jobs.values()) job.advance();
     this.forgetOld();
   }
 
-  /** Forgets closed jobs that a changed configuration no longer lets lie here. */
+  /** Drops closed jobs that the current configuration does not allow on this node. */
   forgetMisplaced(): void {
     if (!this.residency.limitsRegions) return;
     for (const job of this.all()) {
@@ -130,7 +130,7 @@
     }
   }
 
-  /** What this node kept of items, for a node of a zone that may hold it. */
+  /** Cached work on items, without work that `zone` may not store. */
   keptWorkOf(items: readonly string[], zone: ZoneName | undefined): Map<string, DigestedWork> {
     const mayTell = (origin: JobOrigin): boolean =>
       this.residency.mayHoldIn(zone, this.residency.regionsForOrigin(origin));
@@ -142,7 +142,7 @@
     return work;
   }
 
-  /** What earlier owners and earlier jobs made of the items, here and elsewhere. */
+  /** The most advanced earlier work on each item: stored, cached here or received from other nodes. */
   keptWork(
     spec: JobSpecification,
     progress: StoredProgress,
@@ -161,7 +161,7 @@
     return kept;
   }
 
-  /** Gives up a job that is another node's now; what was made of it here and is not listed. */
+  /** Closes a job that another node has taken over; returns the unlisted work on its items. */
   surrender(id: string, zone?: ZoneName): Map<string, DigestedWork> {
     const job = this.jobs.get(id);
     const work = new Map<string, DigestedWork>();
--- a/src/jobs/placement-round.ts
+++ b/src/jobs/placement-round.ts
@@ -1,6 +1,6 @@
 /**
- * Places many items in a row among the workers of one service as they are at one moment. What does
- * not change from item to item (the median pace, which workers have room) is worked out once.
+ * Places a batch of items on the workers of one service. The median event interval and the list of
+ * workers with free slots are computed once per batch.
  */
 import type { Milliseconds } from '../core/units.js';
 import type { DistanceCost } from '../placement/distance-costs.js';
@@ -9,22 +9,21 @@
 import { type ItemNeeds, mayRun, medianPace, placementScore } from './item-placement.js';
 
 /**
- * Workers that are compared for one item at most. A random part of a large fleet holds a fast, empty
- * worker nearly as surely as all of it, and owners of jobs that do not know of each other's items
- * collide less often.
+ * Maximum number of workers compared for one item. A random sample of a large fleet almost always
+ * contains a fast, idle worker, and owners that place items independently collide less often.
  */
 const MOST_COMPARED = 64;
 
-/** Workers that may turn out to be full, in the search for one item, before the list is made anew. */
+/** Number of unsuitable workers in one search after which full ones are removed from the list. */
 const MOST_PASSED_OVER = 64;
 
-/** One round of placements. */
+/** One batch of placements. */
 export class PlacementRound {
   private readonly median: Milliseconds;
   private free: readonly KnownWorker[];
-  /** Where the next search begins; a place at random, so that owners begin at different workers. */
+  /** Start of the next search; random at first, so that owners start at different workers. */
   private cursor: number;
-  /** Needs for which no worker was found; workers only become fuller within a round. */
+  /** Requirements that no worker meets; workers only become fuller within a round. */
   private readonly unmet = new Set<string>();
 
   /**
@@ -43,7 +42,7 @@
     this.cursor = isLarge ? Math.floor(Math.random() * this.free.length) : 0;
   }
 
-  /** The best worker for an item among those that may run it, or `undefined`. */
+  /** The best worker for an item, or `undefined` if none can run it. */
   place(needs: ItemNeeds, sharedPromptWorker: string | undefined): KnownWorker | undefined {
     const regions = needs.allowedRegions?.join() ?? 'any';
     const key = `${needs.model}/${needs.minVersion}/${needs.boundVersion ?? ''}/${regions}`;
--- a/src/jobs/run-mover.ts
+++ b/src/jobs/run-mover.ts
@@ -1,7 +1,7 @@
 /**
- * Moves runs of items to other workers: from one whose stream pauses, from one that is slow, and, once
- * a job is nearly done, to one that is somewhat faster. A stream goes on elsewhere at the price of
- * reading its prompt again, which is little.
+ * Migrates runs of items to other workers: stalled runs, runs on slow workers and, once a job is
+ * closing, runs for which a moderately faster worker is available. Resuming on another worker costs
+ * only processing the prompt again.
  */
 import type { Milliseconds } from '../core/units.js';
 import type { AllowedRegions } from '../placement/allowed-regions.js';
@@ -14,11 +14,11 @@
 import type { OwnedJob } from './owned-job.js';
 import { PlacementRound } from './placement-round.js';
 
-/** Runs are not moved from slow workers before this age, nor moved more often than this. */
+/** Minimum age of a run that is moved from a slow worker, and maximum moves of one item. */
 const LEAST_AGE_TO_MOVE: Milliseconds = 300;
 const MOST_MOVES = 8;
 
-/** Why a run is moved to another worker. */
+/** Reason for moving a run. */
 type MoveCause = 'stalled' | 'slow-worker' | 'faster-elsewhere';
 
 /** Options of {@link RunMover}. */
@@ -27,11 +27,11 @@
   'registry' | 'clock' | 'log' | 'metrics' | 'distanceCost' | 'routes'
 >;
 
-/** Looks at all runs of a node and moves those that should go on elsewhere. */
+/** Migrates runs that would finish sooner on another worker. */
 export class RunMover {
   constructor(private readonly options: RunMoverOptions) {}
 
-  /** Moves what should move and can; called at regular times. */
+  /** Moves all eligible runs; called periodically. */
   moveRuns(jobs: Iterable<OwnedJob>): void {
     const now = this.options.clock.now();
     const median = medianPace(this.options.registry.all());
@@ -47,7 +47,7 @@
     }
   }
 
-  /** Ends a run so that its item goes on elsewhere, if another worker can take it now. */
+  /** Cancels a run so that its item is dispatched again, if another worker can take it now. */
   private move(
     job: OwnedJob,
     entry: OwnedItem,
@@ -85,7 +85,7 @@
   }
 }
 
-/** The inputs of a decision about a run, for the log. */
+/** Log fields of a decision about a run. */
 export function describeRun(
   job: OwnedJob,
   entry: OwnedItem,
@@ -104,8 +104,8 @@
 }
 
 /**
- * Why a run should move. Once most of a job is done, the runs that are left are its longest and
- * hold its trainer up: then a somewhat faster worker is reason enough, once for each item.
+ * Why a run should move. The last runs of a closing job delay its trainer, so a moderately faster
+ * worker is sufficient, once per item.
  */
 function reasonToMove(
   run: ItemRun,
--- a/src/jobs/store-reads.ts
+++ b/src/jobs/store-reads.ts
@@ -1,12 +1,12 @@
-/** Reads of the store that are repeated until it answers. */
+/** Retries reads of the store until it answers. */
 import type { Milliseconds } from '../core/units.js';
 import type { Clock } from '../serving/clock.js';
 import type { Read } from './job-store.js';
 
-/** When to ask again, or to come back, after the store did not answer. */
+/** Delay before a retry, here and by the caller, after the store did not answer. */
 export const STORE_RETRY_AFTER: Milliseconds = 300;
 
-/** Repeats a read until the store answers; `undefined` where there is nothing. */
+/** Repeats a read until the store answers; `undefined` if the record is absent. */
 export async function untilAvailable<Value>(
   clock: Clock,
   read: () => Promise<Read<Value>>,
--- a/src/jobs/trainer-steps.ts
+++ b/src/jobs/trainer-steps.ts
@@ -1,29 +1,29 @@
 /**
- * Which steps of which trainers were taken in at this node. A zone that is out of reach of the store
- * takes in by itself only the next step of a trainer whose steps it ran before: any other job may have
- * been taken in at another zone, as callers repeat a submission at any node.
+ * Tracks the last step of each trainer that this node accepted. A zone that is partitioned from the
+ * store accepts only the next step of such a trainer: any other job may already have been accepted
+ * in another zone, because callers retry submissions at any node.
  */
 import type { JobSpecification } from './job-records.js';
 
-/** What tells the trainer of a job from others. */
+/** Fields that identify the trainer of a job. */
 type TrainerFields = Pick<JobSpecification, 'host' | 'model' | 'tenant'>;
 
-/** Remembers the last step of each trainer. */
+/** Last accepted step of each trainer. */
 export class TrainerSteps {
   private readonly last = new Map<string, number>();
 
-  /** A job was taken in here, and nowhere else. */
+  /** Records a job that only this node accepted. */
   note(spec: JobSpecification): void {
     const key = keyOf(spec);
     this.last.set(key, Math.max(spec.step, this.last.get(key) ?? spec.step));
   }
 
-  /** This node may have missed steps, as its callers went elsewhere for a while. */
+  /** Discards all steps, because callers may have used other zones meanwhile. */
   forget(): void {
     this.last.clear();
   }
 
-  /** Whether a job follows one that was taken in here, and so was handed in here first. */
+  /** Whether a job follows an accepted step, and so cannot have been submitted elsewhere first. */
   isNext(spec: JobSpecification): boolean {
     const last = this.last.get(keyOf(spec));
     return last !== undefined && spec.step > last;
--- a/src/jobs/value-limits.ts
+++ b/src/jobs/value-limits.ts
@@ -1,16 +1,16 @@
 /**
- * How much of a job goes into one value of the shared store, which holds 1 MiB. A larger commit
- * would be refused however often it is repeated.
+ * Limits how much of a job one value of the shared store contains. The store permanently rejects
+ * commits with values above 1 MiB.
  */
 import type { JobResult, StoredProgress } from './job-records.js';
 
-/** Bytes of text that one page of results holds beyond its first result. */
+/** Limit on the text of one page of results; the first result may exceed it. */
 const MAXIMUM_PAGE_BYTES = 400_000;
 
-/** Bytes of events that are kept of unfinished items. */
+/** Limit on the stored events of unfinished items. */
 const MAXIMUM_KEPT_BYTES = 600_000;
 
-/** The first of some results, as many as one page holds. */
+/** The leading results that fit into one page. */
 export function firstPageOf(results: readonly JobResult[]): JobResult[] {
   const page: JobResult[] = [];
   let bytes = 0;
@@ -22,7 +22,7 @@
   return page;
 }
 
-/** As much of some progress as one value holds: whole texts and the longest first. */
+/** The progress that fits into one value, preferring complete texts, then longer ones. */
 export function storableProgress(progress: StoredProgress): StoredProgress {
   const entries = Object.entries(progress).map(([id, kept]) => ({
     id,
