--- a/src/fleet/cold-workers.ts
+++ b/src/fleet/cold-workers.ts
@@ -169,7 +169,7 @@
     for (const [id, at] of this.nextProbeAt) if (at < now) this.nextProbeAt.delete(id);
     metrics.set(
       'cold_workers',
-      this.workersWithColdStart().filter((one) => this.needsPermit(one)).length,
+      this.workersWithColdStart().filter((worker) => this.needsPermit(worker)).length,
     );
   }
 
--- a/src/fleet/due-changes.ts
+++ b/src/fleet/due-changes.ts
@@ -51,7 +51,8 @@
     return held < required || version - held > MAX_USABLE_LAG;
   };
   const isWaiting = (worker: KnownWorker): boolean => !isChanging(worker);
-  let usable = holders.length - behind.filter((one) => isUnusable(one) && isWaiting(one)).length;
+  let usable =
+    holders.length - behind.filter((worker) => isUnusable(worker) && isWaiting(worker)).length;
   const changes: PendingChange[] = [];
   let remaining = Math.ceil(holders.length * IMMEDIATE_SHARE) - updated;
   const byLag = [...behind].sort((a, b) => a.versionOf(model) - b.versionOf(model));
--- a/src/fleet/gateway-node.ts
+++ b/src/fleet/gateway-node.ts
@@ -271,7 +271,10 @@
     this.reporter = setInterval(() => this.report(), COUNTER_LOG_INTERVAL);
   }
 
-  /** Whether this node accepts callers: it is configured, knows its workers, is not stopping, and its evacuation state is not stale. */
+  /**
+   * Whether this node accepts callers: it has a configuration and the list of workers, is not
+   * stopping, and its evacuation state is not stale.
+   */
   get isReady(): boolean {
     if (this.isStopping || this.workerGate.isEvacuationStateStale) return false;
     return this.configuration.version !== undefined && this.areWorkersListed;
--- a/src/fleet/gateway-options.ts
+++ b/src/fleet/gateway-options.ts
@@ -24,7 +24,7 @@
   readonly evacuationBound?: Milliseconds | undefined;
   /** Time limit for a stop; the process is killed after it. */
   readonly stopLimit: Milliseconds;
-  /** Time for which a finished job can be read. */
+  /** Time for which a job stays readable; only finished jobs are removed. */
   readonly jobRetention: Milliseconds;
 }
 
--- a/src/fleet/singleton-tasks.ts
+++ b/src/fleet/singleton-tasks.ts
@@ -31,7 +31,7 @@
   readonly port: CloudPort;
   /** How usage is reported; `undefined` for not at all. */
   readonly usage: UsageReporting | undefined;
-  /** Whether workers may be ordered and released. */
+  /** Whether the fleet may order workers. */
   readonly scalesWorkers: boolean;
 }
 
