--- a/src/fleet/cold-workers.ts
+++ b/src/fleet/cold-workers.ts
@@ -216,8 +216,8 @@
   }
 
   /**
-   * Requests the status of workers, without permits, for what a node that has just started or lost
-   * the store may have missed. Successive requests cover all workers in turn.
+   * Requests the status of some workers, without permits: a node that has just started or lost the
+   * store may have missed changes. Successive requests cover all workers in turn.
    */
   private requestSomeStatus(): Promise<void> {
     const workers = this.workersWithColdStart();
--- a/test/fleet/evacuation.test.ts
+++ b/test/fleet/evacuation.test.ts
@@ -136,7 +136,7 @@
       await sleep(100);
       fleet.evacuate('zone-2');
       await fleet.untilAllSendTo(WITHOUT_ZONE_2);
-      t.pass(`${gateway.name} knows of the evacuation`);
+      t.pass(`${gateway.name} applies the evacuation`);
       fleet.endEvacuation('zone-2');
       await fleet.untilAllSendTo(ZONES);
       gateway.link.open();
--- a/test/fleet/regions-property.test.ts
+++ b/test/fleet/regions-property.test.ts
@@ -25,7 +25,7 @@
 const CALL_TIMEOUT: Milliseconds = 250;
 
 /** Time for the effects of an event. */
-const PAUSE: Milliseconds = 40;
+const SETTLE_TIME: Milliseconds = 40;
 
 const CALLS = ['submit', 'read', 'body', 'end'] as const;
 /** Failures and recoveries. */
@@ -56,14 +56,15 @@
   async applyEvent({ kind, at, job }: FleetEvent): Promise<void> {
     this.change(kind, at);
     await Promise.race([this.call(kind, at, job), PROCESS_CLOCK.sleep(CALL_TIMEOUT)]);
-    await PROCESS_CLOCK.sleep(PAUSE);
+    await PROCESS_CLOCK.sleep(SETTLE_TIME);
   }
 
   private change(kind: FleetEvent['kind'], at: string): void {
     const { fleet } = this;
     if (kind === 'alone') fleet.alone.add(at);
     if (kind === 'alone' || kind === 'without-store') fleet.withoutStore.add(at);
-    if (kind === 'rejoined') for (const cut of [fleet.alone, fleet.withoutStore]) cut.delete(at);
+    if (kind === 'rejoined')
+      for (const failures of [fleet.alone, fleet.withoutStore]) failures.delete(at);
     if (kind === 'apart' || kind === 'together') fleet.areRegionsApart = kind === 'apart';
     if (kind === 'lapsed') fleet.store.erase(`fleet/node/${at}`);
   }
--- a/test/fleet/submission-router.test.ts
+++ b/test/fleet/submission-router.test.ts
@@ -14,16 +14,16 @@
 interface RouterFixture {
   readonly router: SubmissionRouter;
   readonly clock: ManualClock;
-  readonly asked: readonly string[];
+  readonly askedNodes: readonly string[];
 }
 
-/** A node that offers a job to two others, which answer as `use` returns. */
+/** A node that offers a job to two others, which answer what `answerOffer` returns. */
 function routerWith(answerOffer: (offer: Offer, clock: ManualClock) => unknown): RouterFixture {
   const clock = new ManualClock();
-  const asked: string[] = [];
+  const askedNodes: string[] = [];
   const calls = {
     request: async (node: string, request: Offer) => {
-      asked.push(node);
+      askedNodes.push(node);
       return answerOffer(request, clock);
     },
   } as unknown as PeerRequester;
@@ -40,14 +40,14 @@
       acceptsJobsWithoutStore: () => false,
     }),
     clock,
-    asked,
+    askedNodes,
   };
 }
 
 const rejection = { kind: 'answered', answer: { failure: { kind: 'ledger_unavailable' } } };
 
 t.test('two owners that both wait for the store share one time limit', async (t) => {
-  const { router, clock, asked } = routerWith((offer, time) => {
+  const { router, clock, askedNodes } = routerWith((offer, time) => {
     time.time += offer.limit;
     return rejection;
   });
@@ -58,18 +58,18 @@
     `rejected after ${clock.now() - startedAt} ms`,
   );
   t.match(path, { kind: 'answered', failure: { kind: 'ledger_unavailable' } });
-  t.same(asked, ['node-2'], 'no node is asked once the time is used up');
+  t.same(askedNodes, ['node-2'], 'no node is asked once the time is used up');
 });
 
 t.test('the second owner gets the time that the first has left', async (t) => {
   const limits: number[] = [];
-  const { router, asked } = routerWith((offer, time) => {
+  const { router, askedNodes } = routerWith((offer, time) => {
     limits.push(offer.limit);
     time.time += 1_500;
     return limits.length === 1 ? rejection : { kind: 'answered', answer: { failure: undefined } };
   });
   t.same(await router.route(specification('job', 1)), { kind: 'answered', failure: undefined });
-  t.same(asked, ['node-2', 'node-3']);
+  t.same(askedNodes, ['node-2', 'node-3']);
   t.same(limits, [SUBMISSION_TIMEOUT, SUBMISSION_TIMEOUT - 1_500]);
 });
 
