--- a/src/fleet/cold-workers.ts
+++ b/src/fleet/cold-workers.ts
@@ -169,7 +169,7 @@
     for (const [id, at] of this.nextProbeAt) if (at < now) this.nextProbeAt.delete(id);
     metrics.set(
       'cold_workers',
-      this.workersWithColdStart().filter((one) => this.needsPermit(one)).length,
+      this.workersWithColdStart().filter((worker) => this.needsPermit(worker)).length,
     );
   }
 
@@ -216,8 +216,8 @@
   }
 
   /**
-   * Requests the status of workers, without permits, for what a node that has just started or lost
-   * the store may have missed. Successive requests cover all workers in turn.
+   * Requests the status of some workers, without permits: a node that has just started or lost the
+   * store may have missed changes. Successive requests cover all workers in turn.
    */
   private requestSomeStatus(): Promise<void> {
     const workers = this.workersWithColdStart();
