--- a/src/peers/peer-messages.ts
+++ b/src/peers/peer-messages.ts
@@ -22,7 +22,7 @@
 export type GatewayRequest =
   /** Whether this incarnation of the node is still running. */
   | { readonly kind: 'probe'; readonly owner: JobOwner }
-  /** Reads the stored work of these items. */
+  /** Reads the cached work of these items. */
   | {
       readonly kind: 'kept-work';
       readonly items: readonly string[];
@@ -39,8 +39,8 @@
   /** Cancels a job at its owner. */
   | { readonly kind: 'end-job'; readonly job: string; readonly caller: CallerIdentity }
   /**
-   * Sent by the new owner of a job to the previous one: release the job and return its unfinished
-   * work. The previous owner may not have seen the change in the store yet.
+   * Sent by the new owner of a job to the previous one: release the job and return the work done on
+   * its items. The previous owner may not have seen the change in the store yet.
    */
   | {
       readonly kind: 'surrender-job';
@@ -52,7 +52,7 @@
   | {
       readonly kind: 'submit-for';
       readonly spec: JobSpecification;
-      /** Time to keep trying, also during an outage of the store. */
+      /** Time for which the sender waits, also during an outage of the store. */
       readonly limit: Milliseconds;
       /** Whether the job was submitted in a zone that may not store it. @default false */
       readonly isFromOutside?: boolean;
@@ -159,7 +159,7 @@
         /** A watch continues from here. */
         readonly revision: Revision;
       };
-  /** Time since the node's last order completed, or since its process started. */
+  /** Time since the node's last order completed, at most since its start; 0 while one is pending. */
   readonly 'resign-coordinator': { readonly lastOrderAge: Milliseconds };
   readonly 'worker-ended': { readonly isNoted: boolean };
   readonly 'usage-counts': { readonly isNoted: boolean };
--- a/test/journal/job-journal.test.ts
+++ b/test/journal/job-journal.test.ts
@@ -64,16 +64,16 @@
 
 /** One event of a random run. */
 type Step =
-  | { readonly kind: 'keep'; readonly owner: number }
+  | { readonly kind: 'append'; readonly owner: number }
   | { readonly kind: 'take-over'; readonly owner: number }
-  | { readonly kind: 'cut' | 'heal' | 'restart'; readonly replica: number };
+  | { readonly kind: 'partition' | 'heal' | 'restart'; readonly replica: number };
 
 const REPLICA = fc.integer({ min: 0, max: 2 });
 const OWNER = fc.integer({ min: 0, max: 2 });
 const STEP: fc.Arbitrary<Step> = fc.oneof(
-  fc.record({ kind: fc.constant('keep' as const), owner: OWNER }),
+  fc.record({ kind: fc.constant('append' as const), owner: OWNER }),
   fc.record({ kind: fc.constant('take-over' as const), owner: OWNER }),
-  fc.record({ kind: fc.constantFrom('cut' as const, 'heal', 'restart'), replica: REPLICA }),
+  fc.record({ kind: fc.constantFrom('partition' as const, 'heal', 'restart'), replica: REPLICA }),
 );
 
 t.test('the next owner finds all stored entries after any sequence of events', async (t) => {
@@ -83,13 +83,13 @@
       const owners = [0, 1, 2].map((index) => zone.journals(`node-${index}/life`));
       const journals: (JobJournal | undefined)[] = [owners[0]?.openNew('job')];
       await journals[0]?.claim();
-      const kept: JournalEntry[] = [];
+      const stored: JournalEntry[] = [];
       let term = 1;
-      let keeper = 0;
+      let currentOwner = 0;
       for (const step of steps) {
         if ('replica' in step) {
           const address = zone.addresses[step.replica] ?? '';
-          if (step.kind === 'cut') zone.unreachable.add(address);
+          if (step.kind === 'partition') zone.unreachable.add(address);
           else if (step.kind === 'heal') zone.unreachable.delete(address);
           else await zone.restart(address);
           continue;
@@ -99,16 +99,16 @@
           const claim = await journal?.claim();
           if (claim?.kind !== 'claimed') continue;
           term += 1;
-          keeper = step.owner;
+          currentOwner = step.owner;
           journals[step.owner] = journal;
           const found = new Set(claim.entries.map((entry) => JSON.stringify(entry)));
-          if (!kept.every((entry) => found.has(JSON.stringify(entry)))) return false;
+          if (!stored.every((entry) => found.has(JSON.stringify(entry)))) return false;
           continue;
         }
-        const entry = page(kept.length);
+        const entry = page(stored.length);
         if ((await journals[step.owner]?.append([entry])) !== 'kept') continue;
-        if (step.owner !== keeper) return false;
-        kept.push(entry);
+        if (step.owner !== currentOwner) return false;
+        stored.push(entry);
       }
       return true;
     }),
@@ -118,20 +118,24 @@
 
 t.test('a query from another zone is certain only if the replicas answer', async (t) => {
   const zone = await JournalZone.open(t);
-  const inside = zone.journals('node-1/life-1');
-  const outside = zone.journals('node-9/life-9', 'zone-2');
-  t.equal(await outside.entryStatusInAllZones('job'), 'not-held');
-  const journal = inside.openNew('job') as JobJournal;
+  const inZone = zone.journals('node-1/life-1');
+  const inOtherZone = zone.journals('node-9/life-9', 'zone-2');
+  t.equal(await inOtherZone.entryStatusInAllZones('job'), 'not-held');
+  const journal = inZone.openNew('job') as JobJournal;
   await journal.claim();
-  t.equal(await outside.entryStatusInAllZones('job'), 'not-held', 'a claim alone holds nothing');
+  t.equal(
+    await inOtherZone.entryStatusInAllZones('job'),
+    'not-held',
+    'a claim alone holds nothing',
+  );
   await journal.append([page(0)]);
-  t.equal(await outside.entryStatusInAllZones('job'), 'held');
-  t.equal(await outside.entryStatus('job', journal.replicas), 'held');
+  t.equal(await inOtherZone.entryStatusInAllZones('job'), 'held');
+  t.equal(await inOtherZone.entryStatus('job', journal.replicas), 'held');
   for (const address of zone.addresses) zone.unreachable.add(address);
-  t.equal(await outside.entryStatusInAllZones('other'), 'unsure');
-  t.equal(await outside.entryStatus('job', journal.replicas), 'unsure');
+  t.equal(await inOtherZone.entryStatusInAllZones('other'), 'unsure');
+  t.equal(await inOtherZone.entryStatus('job', journal.replicas), 'unsure');
   zone.unreachable.clear();
   await journal.release([page(0)]);
-  t.equal(await outside.entryStatus('job', journal.replicas), 'not-held');
-  t.same(await inside.unsyncedHolders(), []);
+  t.equal(await inOtherZone.entryStatus('job', journal.replicas), 'not-held');
+  t.same(await inZone.unsyncedHolders(), []);
 });
--- a/test/journal/journal-file.test.ts
+++ b/test/journal/journal-file.test.ts
@@ -49,8 +49,13 @@
   const first = await openFolder(folder);
   await first.file.append([held(0)]);
   await first.file.close();
-  const whole = readFileSync(onlyFile(folder), 'utf8').trimEnd().split('\n').at(-1) ?? '';
-  for (const tear of [whole.slice(0, 30), `${whole.slice(0, 30)}\n`, `1${whole}\n`, '\0\0\0\n']) {
+  const lastLine = readFileSync(onlyFile(folder), 'utf8').trimEnd().split('\n').at(-1) ?? '';
+  for (const tear of [
+    lastLine.slice(0, 30),
+    `${lastLine.slice(0, 30)}\n`,
+    `1${lastLine}\n`,
+    '\0\0\0\n',
+  ]) {
     appendFileSync(onlyFile(folder), tear);
     const torn = await openFolder(folder);
     t.same(torn.changes, [held(0)]);
@@ -110,12 +115,12 @@
   await before.answer(release);
   await before.stop();
   const after = await openReplica(folder);
-  const rival = { ...HOLDER, writer: 'node-2/life-2' };
-  t.match(await after.answer({ kind: 'journal-claim', disk, holder: rival }), {
+  const otherWriter = { ...HOLDER, writer: 'node-2/life-2' };
+  t.match(await after.answer({ kind: 'journal-claim', disk, holder: otherWriter }), {
     kind: 'refused',
     holder: HOLDER,
   });
-  const next = { ...rival, term: 2 };
+  const next = { ...otherWriter, term: 2 };
   t.same(await after.answer({ kind: 'journal-claim', disk, holder: next }), {
     kind: 'granted',
     entries: [CREATED, page(1)],
--- a/test/journal/older-build.test.ts
+++ b/test/journal/older-build.test.ts
@@ -134,6 +134,6 @@
 t.test('builds of both formats read replica records of each other', async (t) => {
   const record = RECORDS['fleet/replica/disk-1'];
   t.same(parseReplicaLocation(record), JSON.parse(record));
-  const place = { node: 'disk-1', zone: 'zone-1', address: '10.0.0.9:1', disk: 'disk-life-1' };
-  t.same(FORMAT_1.replica.safeParse(JSON.parse(replicaRecordOf(place))).data, place);
+  const location = { node: 'disk-1', zone: 'zone-1', address: '10.0.0.9:1', disk: 'disk-life-1' };
+  t.same(FORMAT_1.replica.safeParse(JSON.parse(replicaRecordOf(location))).data, location);
 });
--- a/test/journal/replica-directory.test.ts
+++ b/test/journal/replica-directory.test.ts
@@ -24,7 +24,8 @@
   const zone = await JournalZone.open(t);
   const { directory, journals, put } = newGateway(zone);
   t.equal(await journals.entryStatusInAllZones('job'), 'unsure');
-  for (const place of zone.places) put(`${REPLICA_PREFIX}${place.node}`, JSON.stringify(place));
+  for (const location of zone.places)
+    put(`${REPLICA_PREFIX}${location.node}`, JSON.stringify(location));
   t.equal(await journals.entryStatusInAllZones('job'), 'unsure');
   directory.noteListed();
   t.equal(await journals.entryStatusInAllZones('job'), 'not-held');
@@ -36,7 +37,8 @@
   put(`${JOURNAL_ZONE_PREFIX}${ZONE}`);
   directory.noteListed();
   t.equal(await journals.entryStatusInAllZones('job'), 'unsure');
-  for (const place of zone.places) put(`${REPLICA_PREFIX}${place.node}`, JSON.stringify(place));
+  for (const location of zone.places)
+    put(`${REPLICA_PREFIX}${location.node}`, JSON.stringify(location));
   t.equal(await journals.entryStatusInAllZones('job'), 'not-held');
 });
 
@@ -45,7 +47,8 @@
   async (t) => {
     const zone = await JournalZone.open(t);
     const { clock, directory, put } = newGateway(zone);
-    for (const place of zone.places) put(`${REPLICA_PREFIX}${place.node}`, JSON.stringify(place));
+    for (const location of zone.places)
+      put(`${REPLICA_PREFIX}${location.node}`, JSON.stringify(location));
     t.equal(directory.groupFor('job', ZONE)?.length, 3);
     const [first] = zone.places;
     directory.applyChange({
@@ -64,7 +67,8 @@
 t.test('the replica of a draining machine gets no new jobs', async (t) => {
   const zone = await JournalZone.open(t, 4);
   const { directory, put } = newGateway(zone);
-  for (const place of zone.places) put(`${REPLICA_PREFIX}${place.node}`, JSON.stringify(place));
+  for (const location of zone.places)
+    put(`${REPLICA_PREFIX}${location.node}`, JSON.stringify(location));
   const [drained] = zone.places;
   directory.noteDraining(drained?.node ?? '');
   const group = directory.groupFor('job', ZONE) ?? [];
--- a/test/peers/older-build.test.ts
+++ b/test/peers/older-build.test.ts
@@ -45,9 +45,9 @@
 }
 
 function client(test: Pick<typeof t, 'teardown'>): PeerClient {
-  const made = new PeerClient();
-  test.teardown(() => made.stop());
-  return made;
+  const started = new PeerClient();
+  test.teardown(() => started.stop());
+  return started;
 }
 
 t.test('an unsupported request is sent once per incarnation of an older node', async (t) => {
--- a/test/platform-adapter/configuration.test.ts
+++ b/test/platform-adapter/configuration.test.ts
@@ -182,16 +182,16 @@
 
 t.test('the remaining cold time of a worker is optional', async (t) => {
   const entry = { service: 'one', address: '10.0.0.1:80', zone: 'hall-1', state: 'ready' };
-  const told = parseWorker('w', JSON.stringify({ ...entry, cold_remaining_ms: 1_200 }));
-  t.equal(told?.coldFor, 1_200);
+  const withColdTime = parseWorker('w', JSON.stringify({ ...entry, cold_remaining_ms: 1_200 }));
+  t.equal(withColdTime?.coldFor, 1_200);
   t.equal(parseWorker('w', JSON.stringify(entry))?.coldFor, undefined);
 });
 
 t.test('a zone is evacuated while its key exists', async (t) => {
   const key = 'op/evacuate/hall-1';
   const change = (value: string | undefined) => ({ key, value, revision: 4 });
-  const begun = FEED_TRANSLATION.translate(change('{}'));
-  t.same(begun, { kind: 'zone-evacuated', zone: 'hall-1' });
-  const ended = FEED_TRANSLATION.translate(change(undefined));
-  t.same(ended, { kind: 'zone-returned', zone: 'hall-1' });
+  const afterPut = FEED_TRANSLATION.translate(change('{}'));
+  t.same(afterPut, { kind: 'zone-evacuated', zone: 'hall-1' });
+  const afterRemoval = FEED_TRANSLATION.translate(change(undefined));
+  t.same(afterRemoval, { kind: 'zone-returned', zone: 'hall-1' });
 });
--- a/test/platform-adapter/engine-client.test.ts
+++ b/test/platform-adapter/engine-client.test.ts
@@ -120,8 +120,8 @@
 t.test('a request can use a new connection', async (t) => {
   const silent: Script = () => {};
   const worker = await startWorker(t, answers('one'), answers('two'), silent, answers('four'));
-  const kept = await Promise.all([worker.send(), worker.send()]);
-  t.same(await Promise.all(kept.map(bodyOf)), ['one', 'two']);
+  const pooled = await Promise.all([worker.send(), worker.send()]);
+  t.same(await Promise.all(pooled.map(bodyOf)), ['one', 'two']);
   await new Promise((resolve) => setTimeout(resolve, 10));
   const abort = new AbortController();
   const lost = worker.send({}, abort.signal);
@@ -274,9 +274,9 @@
   });
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   const { port } = server.address() as net.AddressInfo;
-  let told = 0;
+  let unreadable = 0;
   const client = new EngineClient(() => {
-    told += 1;
+    unreadable += 1;
   });
   t.teardown(() => {
     client.forget('i-1');
@@ -284,7 +284,7 @@
   });
   const target = worker('i-1', { address: `127.0.0.1:${port}` });
   t.equal(await client.report(target), undefined);
-  t.equal(told, 1);
+  t.equal(unreadable, 1);
 });
 
 t.test('the worker receives the tenant from the gateway only, and never a key', async (t) => {
--- a/test/platform-adapter/ingress.test.ts
+++ b/test/platform-adapter/ingress.test.ts
@@ -161,10 +161,10 @@
 t.test('a job is submitted, run, read, queried for an item body and cancelled', async (t) => {
   const stream = answer(events(0, 'ab'), { isStream: true });
   const { call, engine } = await configured(t, stream);
-  const taken = await call('POST', '/draw/submit', submission(1), {
+  const accepted = await call('POST', '/draw/submit', submission(1), {
     'x-wardwing-request-id': 'job-1',
   });
-  t.equal(taken.status, 202);
+  t.equal(accepted.status, 202);
   const again = await call('POST', '/draw/submit', submission(1), {
     'x-wardwing-request-id': 'job-1',
   });
--- a/test/singleton-tasks/usage-counts.test.ts
+++ b/test/singleton-tasks/usage-counts.test.ts
@@ -25,7 +25,7 @@
   counts.forgetBefore(4);
   t.same(counts.totals(3), {});
   const copy = new UsageCounts();
-  for (const told of counts.since(0)) copy.merge(told.source, told.counts);
+  for (const counted of counts.since(0)) copy.merge(counted.source, counted.counts);
   t.same(copy.totals(4), { north: 4 });
 });
 
--- a/test/singleton-tasks/usage-report-property.test.ts
+++ b/test/singleton-tasks/usage-report-property.test.ts
@@ -76,9 +76,9 @@
 
   private startNode(): UsageNode {
     this.startedNodes += 1;
-    const made = this.fleet.node(`node-${this.startedNodes}`);
-    made.lock.token = undefined;
-    return made;
+    const started = this.fleet.node(`node-${this.startedNodes}`);
+    started.lock.token = undefined;
+    return started;
   }
 
   private hold(index: number): void {
--- a/test/singleton-tasks/usage-sender.test.ts
+++ b/test/singleton-tasks/usage-sender.test.ts
@@ -15,7 +15,7 @@
   readonly records: UsageRecords;
   readonly sent: { readonly holder: string; readonly counts: WindowCounts }[];
   readonly clock: ManualClock;
-  duties: SingletonTaskHolder;
+  taskHolder: SingletonTaskHolder;
   answers: boolean;
 }
 
@@ -25,12 +25,12 @@
   const gathered = new UsageCounts();
   const records = new UsageRecords(new SharedStoreEmulator(), () => {});
   const sent: Fixture['sent'] = [];
-  const state = { duties: { holder: 'holder', term: 1 } as SingletonTaskHolder, answers: true };
+  const state = { taskHolder: { holder: 'holder', term: 1 } as SingletonTaskHolder, answers: true };
   const sender = new UsageSender({
     ...{ meter, gathered, records, clock },
     source: 'own-life',
     node: 'own',
-    taskHolder: () => state.duties,
+    taskHolder: () => state.taskHolder,
     liveNodes: () => 10,
     tell: async (holder, _, counts) => {
       sent.push({ holder, counts });
@@ -69,7 +69,7 @@
   t.equal(run.sent.length, 2);
   run.answers = true;
   await pollTwice(run);
-  run.duties = { holder: 'next', term: 2 };
+  run.taskHolder = { holder: 'next', term: 2 };
   run.clock.time += 1_100;
   await pollTwice(run);
   t.match(run.sent.at(-1), { holder: 'next' });
@@ -81,17 +81,17 @@
   run.meter.noteBegun('north', 1_000);
   run.answers = false;
   await run.sender.finish();
-  const kept = await run.records.read(0);
-  t.equal(kept?.counts[0]?.counts.get(0)?.get('north'), 1);
+  const stored = await run.records.read(0);
+  t.equal(stored?.counts[0]?.counts.get(0)?.get('north'), 1);
 });
 
 t.test('a holder that stops stores the counts that it received', async (t) => {
   const run = fixture();
-  run.duties = { holder: 'own', term: 1 };
+  run.taskHolder = { holder: 'own', term: 1 };
   run.gathered.merge('other-life', new Map([[0, new Map([['south', 3]])]]));
   await run.sender.finish();
-  const kept = await run.records.read(0);
-  t.match(kept?.counts, [{ source: 'other-life' }]);
+  const stored = await run.records.read(0);
+  t.match(stored?.counts, [{ source: 'other-life' }]);
 });
 
 t.test('a node without unsent counts stores nothing when it stops', async (t) => {
