--- a/src/journal/job-journal.ts
+++ b/src/journal/job-journal.ts
@@ -110,7 +110,7 @@
     return answers.every((answer) => answer?.kind === 'granted') ? 'kept' : 'unsure';
   }
 
-  /** Removes entries from the replicas that are now in the shared store. */
+  /** Removes entries that are now in the shared store from the replicas. */
   async release(entries: readonly JournalEntry[]): Promise<void> {
     const { holder } = this.options;
     const keys = entries.map(keyOfEntry);
--- a/src/journal/journal-file.ts
+++ b/src/journal/journal-file.ts
@@ -55,7 +55,7 @@
 /** The journal files of one replica. */
 export class JournalFile {
   private handle: FileHandle | undefined;
-  private number = 0;
+  private fileNumber = 0;
   private size = 0;
 
   private constructor(
@@ -77,7 +77,7 @@
     const names = await journalNames(folder);
     const content = await readAll(folder, names);
     const file = new JournalFile(folder, content.disk, content.unread);
-    file.number = numberOf(names.at(-1));
+    file.fileNumber = numberOf(names.at(-1));
     await file.rewrite(select(content));
     return file;
   }
@@ -113,8 +113,8 @@
   /** Starts a new file with these changes only, and then removes the old files. */
   async rewrite(changes: readonly JournalChange[]): Promise<void> {
     const old = await journalNames(this.folder);
-    this.number += 1;
-    const name = `journal-${String(this.number).padStart(NUMBER_DIGITS, '0')}.log`;
+    this.fileNumber += 1;
+    const name = `journal-${String(this.fileNumber).padStart(NUMBER_DIGITS, '0')}.log`;
     const handle = await open(path.join(this.folder, name), 'w');
     this.size = 0;
     try {
--- a/src/shared-store/prefix-watcher.ts
+++ b/src/shared-store/prefix-watcher.ts
@@ -60,7 +60,7 @@
   private readonly removedAt = new Map<string, Revision>();
   private failures = 0;
   private revision: Revision = 0;
-  private isLost = false;
+  private isDisconnected = false;
   private isListed = false;
   /** Whether changes may have been missed since the last list. */
   private hadLoss = false;
@@ -169,8 +169,8 @@
   }
 
   private recordFailure(): Milliseconds {
-    if (!this.isLost) this.health.next('lost');
-    this.isLost = true;
+    if (!this.isDisconnected) this.health.next('lost');
+    this.isDisconnected = true;
     this.relistAfterLoss();
     const { retryPause, maxRetryPause } = this.options;
     const pause = Math.min(retryPause * 2 ** this.failures, maxRetryPause);
@@ -179,8 +179,8 @@
   }
 
   private recordAnswer(): void {
-    if (this.isLost) this.health.next('regained');
-    this.isLost = false;
+    if (this.isDisconnected) this.health.next('regained');
+    this.isDisconnected = false;
     this.failures = 0;
   }
 }
--- a/src/singleton-tasks/usage-counts.ts
+++ b/src/singleton-tasks/usage-counts.ts
@@ -59,7 +59,7 @@
   }
 
   /** Removes the windows before one. */
-  forgetBefore(window: WindowNumber): void {
+  removeBefore(window: WindowNumber): void {
     for (const [source, counts] of this.bySource) {
       for (const number of counts.keys()) if (number < window) counts.delete(number);
       if (counts.size === 0) this.bySource.delete(source);
--- a/src/singleton-tasks/usage-reporter.ts
+++ b/src/singleton-tasks/usage-reporter.ts
@@ -57,7 +57,7 @@
   /** Reports that the shared store holds, by window. */
   private readonly stored = new Map<WindowNumber, UsageReport>();
   private readonly settled = new Set<WindowNumber>();
-  private readonly retry = new CloudCallBackoff();
+  private readonly backoff = new CloudCallBackoff();
   private isBusy = false;
   private nextCheckpointAt: Milliseconds = 0;
   private requestsAtCheckpoint = 0;
@@ -75,7 +75,7 @@
     const { lock, clock } = this.options;
     if (this.isBusy || lock.fencingToken() === undefined) return;
     const now = clock.now();
-    if (!this.retry.isDue(now)) return;
+    if (!this.backoff.isDue(now)) return;
     const window = this.dueWindow();
     if (window === undefined && now < this.nextCheckpointAt) return;
     this.isBusy = true;
@@ -93,7 +93,7 @@
   private dueWindow(): WindowNumber | undefined {
     const { windows, dueAfter } = this.options;
     const { oldestWindow } = this;
-    this.forgetBefore(oldestWindow);
+    this.removeBefore(oldestWindow);
     for (let window = oldestWindow; window < windows.current; window += 1) {
       if (windows.timeSinceEnd(window) < SETTLING_SHARE * dueAfter) return undefined;
       if (!this.settled.has(window)) return window;
@@ -103,7 +103,7 @@
 
   private async report(window: WindowNumber): Promise<void> {
     const report = this.stored.get(window) ?? (await this.storeReport(window));
-    if (report === undefined) return this.retry.noteFailure(this.options.clock.now());
+    if (report === undefined) return this.backoff.noteFailure(this.options.clock.now());
     await this.send(report);
   }
 
@@ -142,8 +142,8 @@
     if (outcome === 'accepted' || outcome === 'refused') {
       this.settled.add(window);
       this.lastReported = window;
-      this.retry.noteSuccess();
-    } else this.retry.noteFailure(clock.now());
+      this.backoff.noteSuccess();
+    } else this.backoff.noteFailure(clock.now());
   }
 
   /** Stores the unreported counts for the next holder. */
@@ -157,9 +157,9 @@
     if (await records.storeCounts(CHECKPOINT_WRITER, counts)) this.requestsAtCheckpoint = requests;
   }
 
-  private forgetBefore(window: WindowNumber): void {
+  private removeBefore(window: WindowNumber): void {
     const { gathered, log, windows } = this.options;
-    gathered.forgetBefore(window);
+    gathered.removeBefore(window);
     for (const number of this.settled) if (number < window) this.settled.delete(number);
     for (const number of this.stored.keys()) {
       if (number >= window) continue;
--- a/src/singleton-tasks/usage-sender.ts
+++ b/src/singleton-tasks/usage-sender.ts
@@ -93,10 +93,10 @@
     this.isSending = true;
     const counts = meter.totals();
     if (holder === node) gathered.merge(source, counts);
-    const isTaken = holder === node || counts.size === 0 || (await tell(holder, source, counts));
+    const isAccepted = holder === node || counts.size === 0 || (await tell(holder, source, counts));
     this.isSending = false;
-    if (isTaken) this.lastSent = { revision, term };
-    return isTaken;
+    if (isAccepted) this.lastSent = { revision, term };
+    return isAccepted;
   }
 
   private sendInterval(): Milliseconds {
--- a/src/singleton-tasks/worker-scaler.ts
+++ b/src/singleton-tasks/worker-scaler.ts
@@ -49,8 +49,8 @@
 
 /** Sends orders while this node holds the lock. */
 export class WorkerScaler {
-  private readonly placed = new Map<string, PlacedOrder>();
-  private readonly retry = new CloudCallBackoff();
+  private readonly lastOrders = new Map<string, PlacedOrder>();
+  private readonly backoff = new CloudCallBackoff();
   private isOrdering = false;
 
   constructor(private readonly options: WorkerScalerOptions) {}
@@ -58,10 +58,10 @@
   /** Sends at most one order. */
   tick(): void {
     const { lock, clock } = this.options;
-    if (this.isOrdering || !this.retry.isDue(clock.now())) return;
+    if (this.isOrdering || !this.backoff.isDue(clock.now())) return;
     if (lock.fencingToken() === undefined) {
       // Another holder may order something else meanwhile.
-      this.placed.clear();
+      this.lastOrders.clear();
       return;
     }
     const order = this.dueOrder();
@@ -93,7 +93,7 @@
     desiredCount: number,
     limits: ScalingLimits,
   ): boolean {
-    const placed = this.placed.get(keyOf(service, zone));
+    const placed = this.lastOrders.get(keyOf(service, zone));
     if (placed?.desiredCount !== desiredCount || placed.acceptedAt === undefined) return true;
     const arrivalTime = limits.bootTime + ARRIVAL_MARGIN;
     if (this.options.clock.now() - placed.acceptedAt < arrivalTime) return false;
@@ -126,9 +126,9 @@
     if (outcome === 'superseded') lock.noteRefused(fencingToken);
     const isSettled = outcome === 'accepted' || outcome === 'refused';
     const acceptedAt = isSettled ? clock.now() : undefined;
-    this.placed.set(keyOf(service, zone), { desiredCount, acceptedAt });
-    if (isSettled) this.retry.noteSuccess();
-    else this.retry.noteFailure(clock.now());
+    this.lastOrders.set(keyOf(service, zone), { desiredCount, acceptedAt });
+    if (isSettled) this.backoff.noteSuccess();
+    else this.backoff.noteFailure(clock.now());
   }
 }
 
--- a/test/platform-adapter/ingress.test.ts
+++ b/test/platform-adapter/ingress.test.ts
@@ -124,7 +124,7 @@
   return fixture;
 }
 
-const submission = (items: number): string =>
+const submissionBody = (items: number): string =>
   JSON.stringify({
     step: 0,
     model: 'm',
@@ -161,11 +161,11 @@
 t.test('a job is submitted, run, read, queried for an item body and cancelled', async (t) => {
   const stream = answer(events(0, 'ab'), { isStream: true });
   const { call, engine } = await configured(t, stream);
-  const accepted = await call('POST', '/draw/submit', submission(1), {
+  const accepted = await call('POST', '/draw/submit', submissionBody(1), {
     'x-wardwing-request-id': 'job-1',
   });
   t.equal(accepted.status, 202);
-  const again = await call('POST', '/draw/submit', submission(1), {
+  const again = await call('POST', '/draw/submit', submissionBody(1), {
     'x-wardwing-request-id': 'job-1',
   });
   t.equal(again.status, 202, 'a repeated submission is accepted once');
@@ -214,7 +214,7 @@
   const stream = answer(events(0, 'ab'), { isStream: true, signature: 'of the text' });
   const score = answer('judged', { signature: 'of the score' });
   const { call, engine } = await configured(t, stream, score);
-  const job = JSON.parse(submission(1));
+  const job = JSON.parse(submissionBody(1));
   const body = Buffer.from('judge').toString('base64');
   job.requests[0].scorer = { id: 'score-1', host: 'h', path: '/look/score', body };
   const headers = { 'x-wardwing-request-id': 'job-1' };
@@ -233,7 +233,7 @@
 
 t.test('an invalid scorer is rejected with the name of its field', async (t) => {
   const { call } = await configured(t);
-  const job = JSON.parse(submission(1));
+  const job = JSON.parse(submissionBody(1));
   job.requests[0].scorer = { id: 'score-1', host: 'h', path: 'no slash' };
   const refused = await call('POST', '/draw/submit', JSON.stringify(job));
   t.equal(refused.status, 400);
@@ -293,8 +293,8 @@
 t.test('a job is accessible with any key of its tenant, and with no other', async (t) => {
   const fixture = await withTenants(t, answer(events(0, 'ab'), { isStream: true }));
   const key = (value: string): object => ({ 'x-wardwing-key': value });
-  t.equal((await fixture.call('POST', '/draw/1', submission(1))).status, 401);
-  t.equal((await fixture.call('POST', '/draw/1', submission(1), key('north-1'))).status, 202);
+  t.equal((await fixture.call('POST', '/draw/1', submissionBody(1))).status, 401);
+  t.equal((await fixture.call('POST', '/draw/1', submissionBody(1), key('north-1'))).status, 202);
   const path = '/wardwing/lots/id-1';
   t.equal((await fixture.call('GET', path, '', key('north-2'))).status, 200);
   t.equal((await fixture.call('GET', path)).status, 401);
--- a/test/singleton-tasks/usage-counts.test.ts
+++ b/test/singleton-tasks/usage-counts.test.ts
@@ -22,7 +22,7 @@
   const counts = new UsageCounts();
   counts.merge('a', totals(3, { north: 2 }));
   counts.merge('a', totals(4, { north: 4 }));
-  counts.forgetBefore(4);
+  counts.removeBefore(4);
   t.same(counts.totals(3), {});
   const copy = new UsageCounts();
   for (const counted of counts.since(0)) copy.merge(counted.source, counted.counts);
