--- a/test/fleet/coordinator-lock.test.ts
+++ b/test/fleet/coordinator-lock.test.ts
@@ -11,24 +11,24 @@
 
 const SILENT_PEERS: PeerPort = { request: async () => ({ kind: 'silent' }) };
 
-interface Contender {
+interface Candidate {
   readonly fleet: FleetRegistry;
   readonly lock: CoordinatorLock;
   stop(): Promise<void>;
-  /** It tries for the lock no more, and still answers. */
-  rest(): void;
-  /** Ends it without a farewell: its lease goes on. */
-  kill(): void;
+  /** Stops trying for the lock, and still answers. */
+  stopTrying(): void;
+  /** Stops it without ending its lease, as a crash does. */
+  crash(): void;
 }
 
-function contender(
+function startCandidate(
   store: SharedStoreEmulator,
   self: JobOwner,
-  handOverDelay: number,
+  transferDelay: number,
   areTokensChecked = false,
-  /** How the holder of before answers when it is asked to resign. */
+  /** How the previous holder answers a request to resign. */
   peers: PeerPort = SILENT_PEERS,
-): Contender {
+): Candidate {
   const { log } = recordingLog();
   const clock = PROCESS_CLOCK;
   const fleet = new FleetRegistry({ store, self, zone: 'zone-1', clock, log });
@@ -39,7 +39,7 @@
     peers,
     clock,
     log,
-    transferDelay: () => handOverDelay,
+    transferDelay: () => transferDelay,
     areTokensChecked: () => areTokensChecked,
   });
   fleet.start();
@@ -48,19 +48,19 @@
     clearInterval(ticker);
     return fleet.stop();
   };
-  const kill = (): void => {
+  const crash = (): void => {
     clearInterval(ticker);
     store.revokeLease = async () => {};
     void fleet.stop();
   };
-  return { fleet, lock, stop, rest: () => clearInterval(ticker), kill };
+  return { fleet, lock, stop, stopTrying: () => clearInterval(ticker), crash };
 }
 
-t.test('one of two nodes holds the lock; tokens rise from holder to holder', async (t) => {
+t.test('one of two nodes holds the lock, and each new holder has a higher token', async (t) => {
   const store = new SharedStoreEmulator();
-  const one = contender(store, OWNER, 0);
+  const one = startCandidate(store, OWNER, 0);
   await eventually(() => one.lock.fencingToken() !== undefined);
-  const two = contender(store, OTHER, 0);
+  const two = startCandidate(store, OTHER, 0);
   await eventually(() => two.lock.holder === 'node-1');
   const first = one.lock.fencingToken() ?? 0;
   t.equal(two.lock.fencingToken(), undefined);
@@ -71,11 +71,11 @@
   await two.stop();
 });
 
-t.test('a new holder waits out the orders of the one before', async (t) => {
+t.test('a new holder waits for the orders of the previous one', async (t) => {
   const store = new SharedStoreEmulator();
-  const one = contender(store, OWNER, 60_000);
+  const one = startCandidate(store, OWNER, 60_000);
   await eventually(() => one.lock.fencingToken() !== undefined);
-  const two = contender(store, OTHER, 60_000);
+  const two = startCandidate(store, OTHER, 60_000);
   await eventually(() => two.lock.holder === 'node-1');
   await one.stop();
   await eventually(() => two.lock.holder === 'node-2');
@@ -83,26 +83,26 @@
   await two.stop();
 });
 
-t.test('the last holder takes a lapsed lock again at once, under a higher token', async (t) => {
+t.test('the last holder reacquires an expired lock at once, with a higher token', async (t) => {
   const store = new SharedStoreEmulator();
-  const one = contender(store, OWNER, 60_000);
+  const one = startCandidate(store, OWNER, 60_000);
   await eventually(() => one.lock.fencingToken() !== undefined);
   const first = one.lock.fencingToken() ?? 0;
   store.lapseLeases();
   await eventually(() => (one.lock.fencingToken() ?? 0) > first);
-  t.pass('no wait though the hand-over delay is a minute');
+  t.pass('no wait although the transfer delay is a minute');
   await one.stop();
 });
 
-t.test('a restarted holder takes its own lock back at once, under a higher token', async (t) => {
+t.test('a restarted holder reacquires its own lock at once, with a higher token', async (t) => {
   const store = new SharedStoreEmulator();
-  const before = contender(store, OWNER, 60_000);
+  const before = startCandidate(store, OWNER, 60_000);
   await eventually(() => before.lock.fencingToken() !== undefined);
   const first = before.lock.fencingToken() ?? 0;
-  const other = contender(store, OTHER, 60_000);
+  const other = startCandidate(store, OTHER, 60_000);
   await eventually(() => other.lock.holder === 'node-1');
-  before.kill();
-  const after = contender(store, { ...OWNER, incarnation: 'life-after' }, 60_000);
+  before.crash();
+  const after = startCandidate(store, { ...OWNER, incarnation: 'life-after' }, 60_000);
   await eventually(() => after.lock.fencingToken() !== undefined);
   t.ok((after.lock.fencingToken() ?? 0) > first);
   t.equal(other.lock.fencingToken(), undefined);
@@ -110,41 +110,41 @@
   await other.stop();
 });
 
-t.test('a machine of the same name at another address is another holder', async (t) => {
+t.test('a node of the same name at another address is another holder', async (t) => {
   const store = new SharedStoreEmulator();
-  const before = contender(store, OWNER, 60_000);
+  const before = startCandidate(store, OWNER, 60_000);
   await eventually(() => before.lock.fencingToken() !== undefined);
-  before.kill();
+  before.crash();
   const moved = { ...OWNER, incarnation: 'life-after', address: '127.0.0.1:77' };
-  const after = contender(store, moved, 60_000);
+  const after = startCandidate(store, moved, 60_000);
   await eventually(() => after.lock.holder === 'node-1');
   t.equal(after.lock.fencingToken(), undefined);
   const lockBefore = store.valueOf('fleet/coordinator');
   store.lapseLeases();
   await eventually(() => (store.valueOf('fleet/coordinator') ?? lockBefore) !== lockBefore);
   await eventually(() => after.lock.holder === 'node-1');
-  t.equal(after.lock.fencingToken(), undefined, 'it waits out the orders of the one before');
+  t.equal(after.lock.fencingToken(), undefined, 'it waits for the orders of the previous holder');
   await after.stop();
 });
 
-t.test('no orders without a lease that surely goes on', async (t) => {
+t.test('no orders without a lease that is certainly valid', async (t) => {
   const store = new SharedStoreEmulator();
-  const one = contender(store, OWNER, 0);
+  const one = startCandidate(store, OWNER, 0);
   await eventually(() => one.lock.fencingToken() !== undefined);
   store.setAvailability('refusing');
   await eventually(() => one.lock.fencingToken() === undefined);
-  t.equal(one.lock.holder, 'node-1', 'nobody said that the lock is gone');
+  t.equal(one.lock.holder, 'node-1', 'no change of the lock was reported');
   store.setAvailability('up');
   await one.stop();
 });
 
-t.test('a new lease does not bring back a lock that went with the lease before', async (t) => {
+t.test('a new lease does not restore a lock that expired with the previous lease', async (t) => {
   const store = new SharedStoreEmulator();
-  const one = contender(store, OWNER, 0);
+  const one = startCandidate(store, OWNER, 0);
   await eventually(() => one.lock.fencingToken() !== undefined);
   const lease = one.fleet.leaseId;
   const first = one.lock.fencingToken() ?? 0;
-  // No watch tells this node that its lock is gone, nor that another machine has taken it.
+  // This node's watch reports neither the lost lock nor its next holder.
   store.deafenWatches();
   store.lapseLease(lease);
   const lock = { node: 'node-2', address: '127.0.0.1:2', nonce: 'other' };
@@ -157,9 +157,9 @@
   await one.stop();
 });
 
-t.test('a node whose lock lapsed unseen takes it again, without asking all the time', async (t) => {
+t.test('a node whose lock expired unnoticed reacquires it with few calls', async (t) => {
   const store = new SharedStoreEmulator();
-  const one = contender(store, OWNER, 60_000);
+  const one = startCandidate(store, OWNER, 60_000);
   await eventually(() => one.lock.fencingToken() !== undefined);
   const first = one.lock.fencingToken() ?? 0;
   store.deafenWatches();
@@ -172,26 +172,26 @@
   await one.stop();
 });
 
-t.test('a token that a worker refused is not used again', async (t) => {
+t.test('a token that a worker rejected is not used again', async (t) => {
   const store = new SharedStoreEmulator();
-  const one = contender(store, OWNER, 60_000);
+  const one = startCandidate(store, OWNER, 60_000);
   await eventually(() => one.lock.fencingToken() !== undefined);
   const refused = one.lock.fencingToken() ?? 0;
   one.lock.noteRefused(refused);
   t.not(one.lock.fencingToken(), refused);
   await eventually(() => one.lock.fencingToken() !== undefined);
-  t.ok((one.lock.fencingToken() ?? 0) > refused, 'only a newer one is');
+  t.ok((one.lock.fencingToken() ?? 0) > refused, 'only a newer one is used');
   await one.stop();
 });
 
-t.test('a new holder waits for as long as the one before may trust its lease', async (t) => {
+t.test('a new holder waits for as long as the previous one may rely on its lease', async (t) => {
   const store = new SharedStoreEmulator();
-  const one = contender(store, OWNER, 0);
+  const one = startCandidate(store, OWNER, 0);
   await eventually(() => one.lock.fencingToken() !== undefined);
-  const two = contender(store, OTHER, 0);
+  const two = startCandidate(store, OTHER, 0);
   await eventually(() => two.lock.holder === 'node-1');
-  // The lock is taken away while its holder, which is silent here, may still trust its lease.
-  one.kill();
+  // The lock is removed while its holder may still trust its lease.
+  one.crash();
   store.erase('fleet/coordinator');
   await eventually(() => two.lock.holder === 'node-2');
   const takenAt = performance.now();
@@ -201,21 +201,21 @@
   await two.stop();
 });
 
-t.test('where workers check tokens, a new holder waits the hand-over delay alone', async (t) => {
+t.test('where workers check tokens, a new holder waits only for the transfer delay', async (t) => {
   const store = new SharedStoreEmulator();
-  const one = contender(store, OWNER, 0, true);
+  const one = startCandidate(store, OWNER, 0, true);
   await eventually(() => one.lock.fencingToken() !== undefined);
-  const two = contender(store, OTHER, 0, true);
+  const two = startCandidate(store, OTHER, 0, true);
   await eventually(() => two.lock.holder === 'node-1');
-  one.kill();
+  one.crash();
   store.erase('fleet/coordinator');
   await eventually(() => two.lock.holder === 'node-2');
   t.not(two.lock.fencingToken(), undefined);
   await two.stop();
 });
 
-/** Peers through which a holder is asked to resign. */
-function resigning(holder: () => CoordinatorLock): PeerPort {
+/** Peers that pass a request to resign on to a holder. */
+function resigningPeers(holder: () => CoordinatorLock): PeerPort {
   return {
     request: async () => {
       const answer = { lastOrderAge: holder().resign() };
@@ -226,18 +226,18 @@
 
 t.test('a holder that resigns shortens the wait by the age of its last order', async (t) => {
   const store = new SharedStoreEmulator();
-  const one = contender(store, OWNER, 0);
+  const one = startCandidate(store, OWNER, 0);
   await eventually(() => one.lock.fencingToken() !== undefined);
   t.not(one.lock.beginOrder(), undefined);
   one.lock.endOrder();
-  one.rest();
+  one.stopTrying();
   await PROCESS_CLOCK.sleep(300);
-  const two = contender(
+  const two = startCandidate(
     store,
     OTHER,
     1_500,
     false,
-    resigning(() => one.lock),
+    resigningPeers(() => one.lock),
   );
   await eventually(() => two.lock.holder === 'node-1');
   store.lapseLease(one.fleet.leaseId);
@@ -251,9 +251,9 @@
   await two.stop();
 });
 
-t.test('an order that is under way makes a successor wait in full', async (t) => {
+t.test('an order in flight makes the next holder wait for the full delay', async (t) => {
   const store = new SharedStoreEmulator();
-  const one = contender(store, OWNER, 0);
+  const one = startCandidate(store, OWNER, 0);
   await eventually(() => one.lock.fencingToken() !== undefined);
   one.lock.beginOrder();
   t.equal(one.lock.resign(), 0);
@@ -262,16 +262,16 @@
   await one.stop();
 });
 
-t.test('a suspected holder that resigns loses the lock though its lease goes on', async (t) => {
+t.test('a suspected holder that resigns loses the lock although its lease is valid', async (t) => {
   const store = new SharedStoreEmulator();
-  const one = contender(store, OWNER, 0);
+  const one = startCandidate(store, OWNER, 0);
   await eventually(() => one.lock.fencingToken() !== undefined);
-  const two = contender(
+  const two = startCandidate(
     store,
     OTHER,
     0,
     false,
-    resigning(() => one.lock),
+    resigningPeers(() => one.lock),
   );
   await eventually(() => two.lock.holder === 'node-1');
   await two.lock.takeOverFrom(OWNER);
@@ -281,37 +281,40 @@
   await two.stop();
 });
 
-t.test('a suspected holder that is silent keeps the lock until its lease is over', async (t) => {
-  const store = new SharedStoreEmulator();
-  const one = contender(store, OWNER, 0);
-  await eventually(() => one.lock.fencingToken() !== undefined);
-  const two = contender(store, OTHER, 0);
-  await eventually(() => two.lock.holder === 'node-1');
-  await two.lock.takeOverFrom(OWNER);
-  await PROCESS_CLOCK.sleep(100);
-  t.equal(two.lock.holder, 'node-1');
-  t.not(one.lock.fencingToken(), undefined);
-  await one.stop();
-  await two.stop();
-});
+t.test(
+  'a suspected holder that does not answer keeps the lock until its lease expires',
+  async (t) => {
+    const store = new SharedStoreEmulator();
+    const one = startCandidate(store, OWNER, 0);
+    await eventually(() => one.lock.fencingToken() !== undefined);
+    const two = startCandidate(store, OTHER, 0);
+    await eventually(() => two.lock.holder === 'node-1');
+    await two.lock.takeOverFrom(OWNER);
+    await PROCESS_CLOCK.sleep(100);
+    t.equal(two.lock.holder, 'node-1');
+    t.not(one.lock.fencingToken(), undefined);
+    await one.stop();
+    await two.stop();
+  },
+);
 
-t.test('the lock of a holder whose process is gone is free at once', async (t) => {
+t.test('the lock of a holder whose process has terminated is free at once', async (t) => {
   const store = new SharedStoreEmulator();
-  const one = contender(store, OWNER, 0);
+  const one = startCandidate(store, OWNER, 0);
   await eventually(() => one.lock.fencingToken() !== undefined);
   const refusing: PeerPort = { request: async () => ({ kind: 'refused' }) };
-  const two = contender(store, OTHER, 0, true, refusing);
+  const two = startCandidate(store, OTHER, 0, true, refusing);
   await eventually(() => two.lock.holder === 'node-1');
-  one.kill();
+  one.crash();
   await two.lock.takeOverFrom(OWNER);
   await eventually(() => two.lock.fencingToken() !== undefined);
-  t.pass('before the lease of the one before is over');
+  t.pass('before the lease of the previous holder expires');
   await two.stop();
 });
 
-t.test('a life that began just now vouches for no longer than it lasts', async (t) => {
+t.test('a new incarnation reports no orders only since its own start', async (t) => {
   const store = new SharedStoreEmulator();
-  const one = contender(store, OWNER, 60_000);
+  const one = startCandidate(store, OWNER, 60_000);
   const startedAt = performance.now();
   await PROCESS_CLOCK.sleep(100);
   const age = one.lock.resign();
--- a/test/fleet/fleet-fixtures.ts
+++ b/test/fleet/fleet-fixtures.ts
@@ -1,4 +1,4 @@
-/** Nodes, peers and waiting for tests of a fleet. */
+/** Stub peers and a wait for conditions, for tests of a fleet. */
 import type { Milliseconds } from '../../src/core/units.js';
 import type { DigestedWork } from '../../src/jobs/item-work-cache.js';
 import type {
@@ -8,16 +8,16 @@
   PeerRequest,
 } from '../../src/peers/peer-messages.js';
 
-/** Answers probes: addresses in `alive` run the life that is asked for. */
+/** Answers probes: addresses in `alive` run the requested incarnation. */
 export class StubPeers implements PeerPort {
   readonly alive = new Set<string>();
-  /** Addresses that do not reach the store. */
+  /** Addresses whose nodes do not reach the store. */
   readonly cutOff = new Set<string>();
-  /** Addresses whose nodes nobody would miss at once. */
+  /** Addresses whose nodes do not need a short lease. */
   readonly idle = new Set<string>();
-  /** What is given up when a job is asked for. */
-  readonly surrendered = new Map<string, DigestedWork>();
-  /** Addresses at which another life answers. */
+  /** The work that the previous owner of a job releases. */
+  readonly releasedWork = new Map<string, DigestedWork>();
+  /** Addresses at which another incarnation answers. */
   readonly otherLives = new Set<string>();
   readonly asked: { readonly address: string; readonly request: PeerRequest }[] = [];
 
@@ -29,7 +29,7 @@
     const isAlive = this.alive.has(address);
     if (!isAlive && !this.otherLives.has(address)) return { kind: 'refused' };
     if (request.kind === 'surrender-job') {
-      const answer: PeerAnswers['surrender-job'] = { work: this.surrendered };
+      const answer: PeerAnswers['surrender-job'] = { work: this.releasedWork };
       return { kind: 'answered', answer: answer as PeerAnswers[Kind] };
     }
     const reachesStore = !this.cutOff.has(address);
@@ -38,10 +38,10 @@
   }
 }
 
-/** Waits until a condition holds; fails after a generous time. */
+/** Waits until a condition holds; throws after at least 30 s. */
 export async function eventually(holds: () => boolean): Promise<void> {
   const step: Milliseconds = 5;
-  for (let tries = 0; tries < 6_000; tries += 1) {
+  for (let attempt = 0; attempt < 6_000; attempt += 1) {
     if (holds()) return;
     await new Promise((resolve) => setTimeout(resolve, step));
   }
--- a/test/fleet/fleet-peers.test.ts
+++ b/test/fleet/fleet-peers.test.ts
@@ -10,7 +10,7 @@
 import { UNRESTRICTED } from '../../src/tenants/tenant.js';
 import { OWNER, specification } from '../jobs/job-fixtures.js';
 
-/** Zone of each node; `node-1` is the one on trial. */
+/** Zone of each node; `node-1` is the node under test. */
 const ZONES: Readonly<Record<string, string>> = {
   'node-1': 'zone-1',
   far: 'zone-2',
@@ -19,22 +19,22 @@
 
 interface Fixture {
   readonly peers: FleetPeers;
-  readonly answering: PeerRequestHandler;
-  readonly asked: { readonly address: string; readonly kind: string }[];
-  /** The nodes that are to run the job, in order. */
+  readonly handler: PeerRequestHandler;
+  readonly sent: { readonly address: string; readonly kind: string }[];
+  /** The designated owners of the job, in order. */
   readonly owners: readonly string[];
 }
 
-/** `jobId` names the job of which {@link Fixture.owners} tells. */
+/** `jobId` names the job whose owners are {@link Fixture.owners}. */
 function fixture(
   isStoreUnreachable: boolean,
   answerOf: (address: string, request: PeerRequest) => unknown,
   jobId = 'job',
 ): Fixture {
-  const asked: { address: string; kind: string }[] = [];
+  const sent: { address: string; kind: string }[] = [];
   const port: PeerPort = {
     async request<Kind extends PeerRequest['kind']>(address: string, request: PeerRequest) {
-      asked.push({ address, kind: request.kind });
+      sent.push({ address, kind: request.kind });
       const answer = await answerOf(address, request);
       const isMissing = answer === 'silent' || answer === 'refused';
       const outcome = isMissing ? { kind: answer } : { kind: 'answered', answer };
@@ -42,7 +42,7 @@
     },
   };
   const fleet = {
-    isStoreUnreachable: isStoreUnreachable,
+    isStoreUnreachable,
     requiresShortLease: true,
     isLive: () => true,
     liveNodes: () => Object.keys(ZONES),
@@ -67,82 +67,88 @@
     onWeightsNeeded: unused,
   };
   const peers = new FleetPeers(shared);
-  const answering = new PeerRequestHandler({
+  const handler = new PeerRequestHandler({
     ...shared,
     jobs: () => JOBS as unknown as JobService,
     relay: unused,
-    onUsageReported: () => t.fail('nobody told usage'),
+    onUsageReported: () => t.fail('unexpected usage report'),
     permits: unused,
     onWorkerCrashed: unused,
   });
-  return { peers, answering, asked, owners: placement.ownersOf(jobId) };
+  return { peers, handler, sent, owners: placement.ownersOf(jobId) };
 }
 
 const JOBS = { cancelOwn: async () => true, submitHere: async () => undefined };
 const HERE = { kind: 'here', mayRunElsewhere: false };
 
-/** A job that other nodes than `node-1` are to run first, in this order. */
-function jobOfOthers(): { readonly job: string; readonly first: string; readonly second: string } {
+/** A job whose first two owners are other nodes than `node-1`. */
+function remoteJob(): { readonly job: string; readonly first: string; readonly second: string } {
   for (let index = 0; ; index += 1) {
     const job = `job-${index}`;
-    const [first = '', second = '', third] = fixture(false, reaching, job).owners;
+    const [first = '', second = '', third] = fixture(false, answerWithStore, job).owners;
     if (third === 'node-1') return { job, first, second };
   }
 }
 
-const reaching = (address: string, request: PeerRequest): unknown =>
+const answerWithStore = (address: string, request: PeerRequest): unknown =>
   request.kind === 'probe'
     ? { isAlive: true, reachesStore: true }
     : { at: address, failure: undefined };
 
-t.test('the node that is to run a job takes it in', async (t) => {
-  const { job, first } = jobOfOthers();
-  const { peers, asked } = fixture(false, reaching);
+t.test('the designated owner accepts a job', async (t) => {
+  const { job, first } = remoteJob();
+  const { peers, sent: asked } = fixture(false, answerWithStore);
   const path = await peers.submitElsewhere(specification(job, 1));
   t.same(path, { kind: 'answered', failure: undefined });
   t.same(asked, [{ address: first, kind: 'submit-for' }]);
 });
 
-t.test('a job that this node is to run is offered to nobody', async (t) => {
+t.test('a job that this node owns is not offered to another', async (t) => {
   let job = 0;
-  while (fixture(false, reaching, `job-${job}`).owners[0] !== 'node-1') job += 1;
-  const { peers, asked } = fixture(false, reaching);
+  while (fixture(false, answerWithStore, `job-${job}`).owners[0] !== 'node-1') job += 1;
+  const { peers, sent: asked } = fixture(false, answerWithStore);
   t.same(await peers.submitElsewhere(specification(`job-${job}`, 1)), HERE);
   t.same(asked, []);
 });
 
-t.test('where the owner is gone or does not reach the store, the next one is asked', async (t) => {
-  const { job, first, second } = jobOfOthers();
-  const unavailable = { failure: { kind: 'ledger_unavailable' } };
-  for (const answer of ['refused', unavailable]) {
-    const { peers, asked } = fixture(false, (address, request) =>
-      address === first ? answer : reaching(address, request),
-    );
+t.test(
+  'where the owner is down or does not reach the store, the next one gets the offer',
+  async (t) => {
+    const { job, first, second } = remoteJob();
+    const unavailable = { failure: { kind: 'ledger_unavailable' } };
+    for (const answer of ['refused', unavailable]) {
+      const { peers, sent: asked } = fixture(false, (address, request) =>
+        address === first ? answer : answerWithStore(address, request),
+      );
+      const path = await peers.submitElsewhere(specification(job, 1));
+      t.same(path, { kind: 'answered', failure: undefined });
+      t.same(asked, [
+        { address: first, kind: 'submit-for' },
+        { address: second, kind: 'submit-for' },
+      ]);
+    }
+  },
+);
+
+t.test(
+  'a job that an unresponsive owner may have accepted is stored here and marked so',
+  async (t) => {
+    const { job } = remoteJob();
+    const { peers } = fixture(false, () => 'silent');
     const path = await peers.submitElsewhere(specification(job, 1));
-    t.same(path, { kind: 'answered', failure: undefined });
-    t.same(asked, [
-      { address: first, kind: 'submit-for' },
-      { address: second, kind: 'submit-for' },
-    ]);
-  }
-});
-
-t.test('a job that a silent owner may have taken is stored here, and not forgotten', async (t) => {
-  const { job } = jobOfOthers();
-  const { peers } = fixture(false, () => 'silent');
-  const path = await peers.submitElsewhere(specification(job, 1));
-  t.same(path, { kind: 'here', mayRunElsewhere: true });
-});
+    t.same(path, { kind: 'here', mayRunElsewhere: true });
+  },
+);
 
-t.test('a node that reaches the store asks nobody', async (t) => {
-  const { peers, asked } = fixture(false, reaching);
+t.test('a node that reaches the store forwards no requests', async (t) => {
+  const { peers, sent: asked } = fixture(false, answerWithStore);
   t.equal(await peers.readElsewhere('job', 0, 0, UNRESTRICTED), undefined);
   t.equal(await peers.cancelElsewhere('job', UNRESTRICTED), undefined);
   t.same(asked, []);
 });
 
-t.test('a node that is cut off asks one of its zone that reaches the store', async (t) => {
-  const { peers } = fixture(true, reaching);
+t.test('a node without the store forwards to one of its zone that reaches it', async (t) => {
+  const { peers } = fixture(true, answerWithStore);
   const path = await peers.submitElsewhere(specification('job', 1));
   t.same(path, { kind: 'answered', failure: undefined });
   t.match(await peers.cancelElsewhere('job', UNRESTRICTED), { at: 'near' });
@@ -154,8 +160,8 @@
   t.same(await farOnly.peers.readElsewhere('job', 0, 0, UNRESTRICTED), { at: 'far' });
 });
 
-t.test('where no node reaches the store, each does what it can by itself', async (t) => {
-  const { peers, asked } = fixture(true, (_, request) =>
+t.test('where no node reaches the store, each handles its own requests', async (t) => {
+  const { peers, sent: asked } = fixture(true, (_, request) =>
     request.kind === 'probe'
       ? { isAlive: true, reachesStore: false }
       : { failure: { kind: 'ledger_unavailable' } },
@@ -164,16 +170,19 @@
   t.ok(asked.every(({ kind }) => kind === 'probe' || kind === 'submit-for'));
 });
 
-t.test('a job that another node may have taken is not refused as if it had not run', async (t) => {
-  const { peers } = fixture(true, (_, request) =>
-    request.kind === 'probe' ? { isAlive: true, reachesStore: true } : 'silent',
-  );
-  const path = await peers.submitElsewhere(specification('job', 1));
-  t.match(path, { kind: 'answered', failure: { kind: 'outcome_unknown' } });
-});
+t.test(
+  'a job that another node may have accepted is not rejected as if it had not run',
+  async (t) => {
+    const { peers } = fixture(true, (_, request) =>
+      request.kind === 'probe' ? { isAlive: true, reachesStore: true } : 'silent',
+    );
+    const path = await peers.submitElsewhere(specification('job', 1));
+    t.match(path, { kind: 'answered', failure: { kind: 'outcome_unknown' } });
+  },
+);
 
-t.test('a node that is cut off refuses at once to take a job in for another', async (t) => {
-  const { answering } = fixture(true, reaching);
+t.test('a node without the store rejects jobs of other nodes at once', async (t) => {
+  const { handler: answering } = fixture(true, answerWithStore);
   const answer = await answering.answer({
     kind: 'submit-for',
     spec: specification('job', 1),
@@ -182,21 +191,21 @@
   t.match(answer, { failure: { kind: 'ledger_unavailable' } });
 });
 
-t.test('an owner that is cut off says so, and does not claim to have ended a job', async (t) => {
-  const { answering } = fixture(true, reaching);
+t.test('an owner without the store reports that and does not confirm a cancellation', async (t) => {
+  const { handler: answering } = fixture(true, answerWithStore);
   const probe = await answering.answer({ kind: 'probe', owner: OWNER });
   t.same(probe, { isAlive: true, reachesStore: false, hasDuties: true });
   t.same(await answering.answer({ kind: 'end-job', job: 'job', caller: UNRESTRICTED }), {
     isEnded: false,
   });
-  const sound = fixture(false, reaching);
-  t.same(await sound.answering.answer({ kind: 'end-job', job: 'job', caller: UNRESTRICTED }), {
+  const sound = fixture(false, answerWithStore);
+  t.same(await sound.handler.answer({ kind: 'end-job', job: 'job', caller: UNRESTRICTED }), {
     isEnded: true,
   });
 });
 
-t.test('an owner that stops answering while it takes a job in is not waited for', async (t) => {
-  const { job } = jobOfOthers();
+t.test('the sender stops waiting for an owner that fails while it accepts a job', async (t) => {
+  const { job } = remoteJob();
   const never = new Promise<never>(() => {});
   for (const probe of ['silent', { isAlive: true, reachesStore: false }]) {
     const { peers } = fixture(false, (_, request) => (request.kind === 'probe' ? probe : never));
@@ -207,10 +216,10 @@
   }
 });
 
-t.test('an owner that waits for the store is waited for', async (t) => {
-  const { job, first } = jobOfOthers();
+t.test('the sender waits for an owner that waits for the store', async (t) => {
+  const { job, first } = remoteJob();
   const slow = new Promise((resolve) => setTimeout(() => resolve({ failure: undefined }), 1_500));
-  const { peers, asked } = fixture(false, (_, request) =>
+  const { peers, sent: asked } = fixture(false, (_, request) =>
     request.kind === 'probe' ? { isAlive: true, reachesStore: true } : slow,
   );
   const path = await peers.submitElsewhere(specification(job, 1));
--- a/test/fleet/fleet-registry.test.ts
+++ b/test/fleet/fleet-registry.test.ts
@@ -15,11 +15,11 @@
 const record = (incarnation: string): string =>
   JSON.stringify({ incarnation, zone: 'zone-2', address: '127.0.0.1:2' });
 
-t.test('a node registers itself and sees the others come, be replaced and go', async (t) => {
+t.test('a node registers itself and tracks nodes that join, are replaced and leave', async (t) => {
   const store = new SharedStoreEmulator();
   const fleet = registry(store);
-  const departures: NodeTermination[] = [];
-  fleet.terminations.subscribe((departure) => departures.push(departure));
+  const terminations: NodeTermination[] = [];
+  fleet.terminations.subscribe((termination) => terminations.push(termination));
   fleet.start();
   await eventually(() => fleet.isLive(OWNER));
   store.write('fleet/node/node-2', record('life-2'));
@@ -27,10 +27,10 @@
   t.equal(fleet.addressOf('node-2'), '127.0.0.1:2');
   t.equal(fleet.zoneOf('node-2'), 'zone-2');
   store.write('fleet/node/node-2', record('life-3'));
-  await eventually(() => departures.length === 1);
+  await eventually(() => terminations.length === 1);
   store.erase('fleet/node/node-2');
-  await eventually(() => departures.length === 2);
-  t.same(departures, [
+  await eventually(() => terminations.length === 2);
+  t.same(terminations, [
     { node: 'node-2', zone: 'zone-2', cause: 'replaced' },
     { node: 'node-2', zone: 'zone-2', cause: 'lease-over' },
   ]);
@@ -39,7 +39,7 @@
   t.same(store.keys('fleet/node/'), [], 'a node that stops ends its lease');
 });
 
-t.test('a node whose lease lapsed registers again under the same life', async (t) => {
+t.test('a node whose lease expired registers again with the same incarnation', async (t) => {
   const store = new SharedStoreEmulator();
   const fleet = registry(store);
   fleet.start();
@@ -49,11 +49,11 @@
   await eventually(() => !fleet.isLive(OWNER));
   await eventually(() => fleet.isLive(OWNER));
   t.not(fleet.leaseId, first);
-  t.ok(fleet.wasStoreUnreachableWithin(60_000), 'the gap is told as a silence of the store');
+  t.ok(fleet.wasStoreUnreachableWithin(60_000), 'the gap counts as an outage of the store');
   await fleet.stop();
 });
 
-t.test('a record that cannot be read counts as none', async (t) => {
+t.test('a record that cannot be parsed is ignored', async (t) => {
   const store = new SharedStoreEmulator();
   const fleet = registry(store);
   store.write('fleet/node/node-2', 'not a record');
@@ -63,25 +63,22 @@
   await fleet.stop();
 });
 
-t.test(
-  'a node without duties renews rarely, one that takes them at once gets a prompt lease',
-  async (t) => {
-    const store = new SharedStoreEmulator();
-    const fleet = registry(store);
-    void fleet.start();
-    await eventually(() => fleet.isLive(OWNER));
-    t.notOk(fleet.hasShortLease);
-    await PROCESS_CLOCK.sleep(1_000);
-    t.equal(store.calls.get('keep') ?? 0, 0, 'one renewal each 2.5 s');
-    fleet.requireShortLease();
-    await eventually(() => fleet.hasShortLease);
-    await eventually(() => (store.calls.get('keep') ?? 0) >= 2);
-    t.ok(fleet.isLive(OWNER), 'the same life goes on');
-    await fleet.stop();
-  },
-);
+t.test('a node renews rarely until it requires a short lease, which it gets at once', async (t) => {
+  const store = new SharedStoreEmulator();
+  const fleet = registry(store);
+  void fleet.start();
+  await eventually(() => fleet.isLive(OWNER));
+  t.notOk(fleet.hasShortLease);
+  await PROCESS_CLOCK.sleep(1_000);
+  t.equal(store.calls.get('keep') ?? 0, 0, 'one renewal each 2.5 s');
+  fleet.requireShortLease();
+  await eventually(() => fleet.hasShortLease);
+  await eventually(() => (store.calls.get('keep') ?? 0) >= 2);
+  t.ok(fleet.isLive(OWNER), 'the incarnation is the same');
+  await fleet.stop();
+});
 
-t.test('a failed call shows within one renewal that the store is out of reach', async (t) => {
+t.test('an unreachable store is noticed within one renewal of a failed call', async (t) => {
   const store = new SharedStoreEmulator();
   const fleet = registry(store);
   void fleet.start();
@@ -98,7 +95,7 @@
 });
 
 t.test(
-  'where all nodes start for the first time, each lists once the others are there',
+  'when all nodes start for the first time, each lists the fleet once all have registered',
   async (t) => {
     const store = new SharedStoreEmulator();
     const { log } = recordingLog();
@@ -116,12 +113,12 @@
   },
 );
 
-t.test('a start is over once the fleet was listed, and at the latest after a second', async (t) => {
+t.test('a start resolves once the fleet was listed, or after a second', async (t) => {
   const store = new SharedStoreEmulator();
   store.write('fleet/node/node-2', record('life-2'));
   const fleet = registry(store);
   await fleet.start();
-  t.ok(fleet.isLive(OTHER), 'what relays there are is known now');
+  t.ok(fleet.isLive(OTHER), 'the relays are known');
   await fleet.stop();
   store.setAvailability('refusing');
   const late = registry(store);
--- a/test/fleet/format-versions.test.ts
+++ b/test/fleet/format-versions.test.ts
@@ -1,4 +1,4 @@
-/** What older builds can't read is written only once none of them lives. */
+/** A format is written only once no node that cannot read it may be running. */
 import t from 'tap';
 import { SharedStoreEmulator } from '../../lab/emulator/shared-store-emulator.js';
 import { FIRST_FORMAT, OWN_FORMAT } from '../../src/core/format-version.js';
@@ -11,7 +11,7 @@
 import { recordingLog } from '../serving/serving-fixtures.js';
 import { eventually } from './fleet-fixtures.js';
 
-t.test('nothing is assumed before the fleet is known', async (t) => {
+t.test('no format counts as read before the fleet was listed', async (t) => {
   const formats = new FormatVersions();
   formats.note('node-1', OWN_FORMAT);
   t.notOk(formats.isReadByAll(OWN_FORMAT, 0));
@@ -20,7 +20,7 @@
   t.notOk(formats.isReadByAll(OWN_FORMAT + 1, 0));
 });
 
-t.test('an older node whose lease lapsed may live on for a while', async (t) => {
+t.test('an older node counts as running for a while after its lease expired', async (t) => {
   const formats = new FormatVersions();
   formats.noteListed();
   formats.note('node-1', FIRST_FORMAT);
@@ -29,7 +29,7 @@
   t.ok(formats.isReadByAll(OWN_FORMAT, 62_000));
 });
 
-t.test('a rollback takes the format back, and the next upgrade gives it again', async (t) => {
+t.test('a rollback withdraws a format and the next upgrade allows it again', async (t) => {
   const formats = new FormatVersions();
   formats.noteListed();
   formats.note('node-1', OWN_FORMAT);
--- a/test/fleet/peer-monitor.test.ts
+++ b/test/fleet/peer-monitor.test.ts
@@ -12,14 +12,14 @@
   readonly suspicions: Suspicion[];
 }
 
-/** A node that watches one other node. */
-function watching(wasSilentHere = false): Fixture {
+/** A node that monitors one other node. */
+function monitorFixture(wasStoreUnreachableHere = false): Fixture {
   const peers = new StubPeers();
   const fleet = {
     liveNodes: () => [OWNER.node, OTHER.node],
     incarnationOf: () => OTHER,
     addressOf: () => OTHER.address,
-    wasStoreUnreachableWithin: () => wasSilentHere,
+    wasStoreUnreachableWithin: () => wasStoreUnreachableHere,
   } as unknown as FleetRegistry;
   const { log } = recordingLog();
   const monitor = new PeerMonitor({ fleet, peers, self: OWNER, clock: PROCESS_CLOCK, log });
@@ -29,24 +29,21 @@
   return { monitor, peers, suspicions };
 }
 
-t.test(
-  'a node that answers and does not reach the store is suspected, and trusted again',
-  async (t) => {
-    const { monitor, peers, suspicions } = watching();
-    peers.alive.add(OTHER.address);
-    peers.cutOff.add(OTHER.address);
-    await eventually(() => suspicions.length === 1);
-    t.match(suspicions[0], { owner: OTHER, ownerAnswers: true });
-    t.ok(peers.asked.length >= 3, 'not at the first answer');
-    t.ok(monitor.isSuspected(OTHER));
-    peers.cutOff.clear();
-    await eventually(() => !monitor.isSuspected(OTHER));
-    monitor.stop();
-  },
-);
+t.test('a node without the store is suspected until it reaches the store again', async (t) => {
+  const { monitor, peers, suspicions } = monitorFixture();
+  peers.alive.add(OTHER.address);
+  peers.cutOff.add(OTHER.address);
+  await eventually(() => suspicions.length === 1);
+  t.match(suspicions[0], { owner: OTHER, ownerAnswers: true });
+  t.ok(peers.asked.length >= 3, 'not after the first answer');
+  t.ok(monitor.isSuspected(OTHER));
+  peers.cutOff.clear();
+  await eventually(() => !monitor.isSuspected(OTHER));
+  monitor.stop();
+});
 
-t.test('where the store was silent here too, nobody is suspected for that', async (t) => {
-  const { monitor, peers, suspicions } = watching(true);
+t.test('no node is suspected for an outage of the store that this node saw too', async (t) => {
+  const { monitor, peers, suspicions } = monitorFixture(true);
   peers.alive.add(OTHER.address);
   peers.cutOff.add(OTHER.address);
   await eventually(() => peers.asked.length >= 5);
@@ -54,16 +51,16 @@
   monitor.stop();
 });
 
-t.test('a node that refuses connections is suspected and not asked for its work', async (t) => {
-  const { monitor, suspicions } = watching();
+t.test('a node that refuses connections is suspected as unresponsive', async (t) => {
+  const { monitor, suspicions } = monitorFixture();
   await eventually(() => suspicions.length === 1);
   t.match(suspicions[0], { ownerAnswers: false });
   await PROCESS_CLOCK.sleep(10);
   monitor.stop();
 });
 
-t.test('a node that nobody would miss at once is probed rarely, until it fails', async (t) => {
-  const { monitor, peers, suspicions } = watching();
+t.test('a node without a short lease is probed rarely until it fails', async (t) => {
+  const { monitor, peers, suspicions } = monitorFixture();
   peers.alive.add(OTHER.address);
   peers.idle.add(OTHER.address);
   await eventually(() => peers.asked.length === 1);
--- a/test/fleet/peer-requester.test.ts
+++ b/test/fleet/peer-requester.test.ts
@@ -1,7 +1,6 @@
 /**
- * A region that was cut off from the store alone: each of its nodes asked four nodes of its own zone
- * whether they reach the store, all four were cut off with it, and a job was refused that any node of
- * the other region could have stored.
+ * Guards against a node that probes only its own zone for access to the store: where a whole region
+ * cannot reach the store, the other region can still accept jobs.
  */
 import t from 'tap';
 import type { FleetRegistry } from '../../src/fleet/fleet-registry.js';
@@ -24,8 +23,8 @@
   [1, 2, 3, 4, 5, 6].map((number) => `${zone}/${number}`),
 );
 
-/** A node of `south-1` that is cut off from the store, as are the nodes of some zones. */
-function cutOffWith(zones: readonly string[], distanceBetween?: DistanceBetween) {
+/** A node of `south-1` that does not reach the store, as do the nodes of some zones. */
+function withUnreachableStore(zones: readonly string[], distanceBetween?: DistanceBetween) {
   const probed: string[] = [];
   const port = {
     request: async (address: string) => {
@@ -42,27 +41,27 @@
     incarnationOf: (node: string) => ({ node, incarnation: 'life', address: node }),
   } as unknown as FleetRegistry;
   const options = { port, fleet, self: OWNER, zone: 'south-1', metrics: new FleetMetrics() };
-  const calls = new PeerRequester({ ...options, ...(distanceBetween && { distanceBetween }) });
-  return { calls, probed };
+  const requester = new PeerRequester({ ...options, ...(distanceBetween && { distanceBetween }) });
+  return { requester, probed };
 }
 
-t.test('a region that is cut off from the store alone goes by way of the other', async (t) => {
-  const { calls, probed } = cutOffWith(['south-1', 'south-2'], byRegion);
-  t.equal(await calls.findNodeReachingStore(), 'north-1/1');
+t.test('a region that does not reach the store goes through the other region', async (t) => {
+  const { requester, probed } = withUnreachableStore(['south-1', 'south-2'], byRegion);
+  t.equal(await requester.findNodeReachingStore(), 'north-1/1');
   t.equal(probed.length, 4);
 });
 
-t.test('a node near by goes before one of the other region', async (t) => {
-  const { calls } = cutOffWith([], byRegion);
-  t.equal(await calls.findNodeReachingStore(), 'south-1/1');
+t.test('a nearby node is preferred to one of another region', async (t) => {
+  const { requester } = withUnreachableStore([], byRegion);
+  t.equal(await requester.findNodeReachingStore(), 'south-1/1');
 });
 
-t.test('in one region the own zone is asked first, and nobody else for its own jobs', async (t) => {
-  const { calls, probed } = cutOffWith(['south-1']);
-  t.equal(await calls.findNodeReachingStore(), undefined);
+t.test('in one region the own zone is probed first, and only it for its own jobs', async (t) => {
+  const { requester, probed } = withUnreachableStore(['south-1']);
+  t.equal(await requester.findNodeReachingStore(), undefined);
   t.ok(probed.every((node) => node.startsWith('south-1')));
   t.equal(
-    await cutOffWith(['south-1'], byRegion).calls.findNodeReachingStore('own-zone'),
+    await withUnreachableStore(['south-1'], byRegion).requester.findNodeReachingStore('own-zone'),
     undefined,
   );
 });
--- a/test/fleet/prefix-sources.test.ts
+++ b/test/fleet/prefix-sources.test.ts
@@ -1,10 +1,10 @@
-/** What is told of who follows a prefix for this node, and of how long nobody did. */
+/** The source of each prefix, and the time without one, are tracked and logged. */
 import t from 'tap';
 import { PrefixSources, STORE_SOURCE } from '../../src/fleet/prefix-sources.js';
 import { ManualClock } from '../jobs/job-fixtures.js';
 import { recordingLog } from '../serving/serving-fixtures.js';
 
-t.test('a contact ages by the time for which the machine was suspended, too', async (t) => {
+t.test('the age of a contact includes time for which the machine was suspended', async (t) => {
   const clock = new ManualClock();
   const sources = new PrefixSources({ clock, log: recordingLog().log });
   t.equal(sources.contactAge('op/'), Number.POSITIVE_INFINITY);
@@ -16,7 +16,7 @@
   t.equal(sources.contactAge('op/'), 0);
 });
 
-t.test('a change of the source is told with the time in between, and silence once', async (t) => {
+t.test('a change of the source is logged with the time between, and a loss once', async (t) => {
   const clock = new ManualClock();
   const { log, lines } = recordingLog();
   const sources = new PrefixSources({ clock, log });
--- a/test/fleet/query-of-death.test.ts
+++ b/test/fleet/query-of-death.test.ts
@@ -1,18 +1,6 @@
 /**
- * What users saw: for two to five seconds at a time, again and again, a service of three workers was
- * gone, and more than a tenth of its requests was not served. Eleven workers ended under one
- * request, which its caller sent six times in 13 s; three is where it has to be known.
- *
- * Order of events: the request ended both workers that its route allows for one try. Its connection
- * broke, the caller was told that the worker failed, and came again at another gateway some seconds
- * later, when the workers were back. That gateway knew nothing, and two more ended; and so on.
- *
- * Cause: what a request did to workers was counted by the object that forwarded it once and was
- * forgotten with it, while the caller, the workers and the promise count over all tries at all nodes.
- *
- * Evidence: the lines of six refused tries at six gateways, each with two attempts under a new id;
- * with the fingerprint of what was asked in the line attempt-broken they are one request. Each
- * worker that it had to itself ended too, and no other request was at each of them.
+ * Guards against one crash-inducing request that takes down a whole service because its caller
+ * retries it at several gateways: at most three workers may crash, counted over all gateways.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 import t from 'tap';
@@ -22,13 +10,13 @@
 import { ranStateOf } from '../../src/errors/error-kinds.js';
 import { eventually } from './fleet-fixtures.js';
 
-/** Workers that may end under one request. */
-const MOST_ENDED = 3;
+/** Workers that one request may crash. */
+const MAX_CRASHED = 3;
 
-/** A quarter of the shortest bound within which all nodes have to know. */
-const TELLING_TIME: Milliseconds = 750;
+/** Time for a crash report to reach all nodes: a quarter of the shortest change bound. */
+const REPORT_TIME: Milliseconds = 750;
 
-/** Longest time for which the route lets a request be held. */
+/** Time for which the route allows a request to run. */
 const ROUTE_TIMEOUT: Milliseconds = 1_500;
 
 const GATEWAYS = 4;
@@ -51,7 +39,7 @@
 
 for (const maxAttempts of [1, 2, 3]) {
   t.test(
-    `a request that ends its workers comes again at all gateways, ${maxAttempts} a try`,
+    `a crash-inducing request is retried at all gateways, ${maxAttempts} attempts each`,
     async (t) => {
       const { workers, fleet } = await startFleet(t, maxAttempts);
       const failures: (string | undefined)[] = [];
@@ -63,14 +51,14 @@
         }
       }
       t.ok(
-        workers.ended.length <= MOST_ENDED,
-        `${workers.ended.length} workers ended, tries came to ${failures.join(', ')}`,
+        workers.ended.length <= MAX_CRASHED,
+        `${workers.ended.length} workers crashed, tries ended with ${failures.join(', ')}`,
       );
     },
   );
 }
 
-t.test('one gateway alone sees it again and again', async (t) => {
+t.test('a crash-inducing request is retried at one gateway', async (t) => {
   const { workers, fleet } = await startFleet(t, 2);
   const [gateway] = fleet.gateways;
   if (gateway === undefined) return t.fail('no gateway');
@@ -78,22 +66,22 @@
     await workers.whole(WORKERS);
     await fleet.ask(gateway, '/look/same', LETHAL);
   }
-  t.ok(workers.ended.length <= MOST_ENDED, `${workers.ended.length} workers ended`);
+  t.ok(workers.ended.length <= MAX_CRASHED, `${workers.ended.length} workers crashed`);
 });
 
-const LETHAL_PATH = '/look/same';
+const CRASHING_PATH = '/look/same';
 
-/** Sends the request until no try ends a worker any more. */
+/** Sends the request until it crashes no more workers. */
 async function quarantine({ workers, fleet }: Fleet): Promise<void> {
   for (let round = 0; round < 2; round += 1) {
     await workers.whole(WORKERS);
-    await fleet.ask(gatewayAt(fleet, round), LETHAL_PATH, LETHAL);
+    await fleet.ask(gatewayAt(fleet, round), CRASHING_PATH, LETHAL);
   }
   await workers.whole(WORKERS);
 }
 
-/** Nothing runs here for a time, as on a machine that is frozen or has spent its share of a core. */
-function standStill(time: Milliseconds): void {
+/** Blocks the event loop, as on a machine that is paused or throttled. */
+function blockEventLoop(time: Milliseconds): void {
   const end = performance.now() + time;
   while (performance.now() < end);
 }
@@ -104,125 +92,125 @@
   return gateway;
 }
 
-/** Asserts that gateways send the request to no worker. */
-async function allRefuse(
+/** Asserts that gateways reject the request without sending it to a worker. */
+async function assertAllReject(
   test: Pick<typeof t, 'equal'>,
   fleet: JoinedGateways,
   gateways: readonly JoinedGateway[] = fleet.gateways,
 ): Promise<void> {
   for (const gateway of gateways) {
-    const { failure } = await fleet.ask(gateway, LETHAL_PATH, LETHAL);
+    const { failure } = await fleet.ask(gateway, CRASHING_PATH, LETHAL);
     test.equal(failure?.kind, 'request_quarantined', gateway.name);
   }
 }
 
-t.test('a refusal of it comes at once, is a promise, and says when to come back', async (t) => {
+t.test('a rejection is immediate, says that nothing ran, and says when to retry', async (t) => {
   const all = await startFleet(t, 2);
   await quarantine(all);
   const startedAt = performance.now();
-  const { failure } = await all.fleet.ask(gatewayAt(all.fleet, 3), LETHAL_PATH, LETHAL);
+  const { failure } = await all.fleet.ask(gatewayAt(all.fleet, 3), CRASHING_PATH, LETHAL);
   t.ok(performance.now() - startedAt < 50);
   t.equal(failure?.kind, 'request_quarantined');
   t.equal(failure === undefined ? undefined : ranStateOf(failure), 'no');
   t.ok((failure?.retryAfter ?? 0) > 590_000);
 });
 
-t.test('a gateway that joins later knows it', async (t) => {
+t.test('a gateway that joins later rejects the request', async (t) => {
   const all = await startFleet(t, 2);
   await quarantine(all);
   const late = all.fleet.add();
   await eventually(() => late.node.isReady);
-  await allRefuse(t, all.fleet, [late]);
+  await assertAllReject(t, all.fleet, [late]);
 });
 
-t.test('a fleet that was ended as a whole knows it when it is back', async (t) => {
+t.test('a fleet that was stopped completely rejects the request after a restart', async (t) => {
   const all = await startFleet(t, 2);
   await quarantine(all);
   for (const gateway of [...all.fleet.gateways]) await all.fleet.remove(gateway);
   const again = all.fleet.add();
   await eventually(() => again.node.isReady);
-  await allRefuse(t, all.fleet, [again]);
+  await assertAllReject(t, all.fleet, [again]);
 });
 
-t.test('a worker that ends just after its request was given up is seen', async (t) => {
+t.test('a worker that crashes just after its request timed out is counted', async (t) => {
   const { workers, fleet } = await startFleet(t, 2);
   for (const gateway of fleet.gateways) {
     await workers.whole(WORKERS);
-    const asked = fleet.ask(gateway, LETHAL_PATH, LETHAL);
+    const asked = fleet.ask(gateway, CRASHING_PATH, LETHAL);
     await new Promise((resolve) => setImmediate(resolve));
-    // The first worker's end is seen, and the next one is asked just before the deadline.
-    standStill(ROUTE_TIMEOUT - 5);
+    // The first crash is noticed, and the next worker is requested just before the deadline.
+    blockEventLoop(ROUTE_TIMEOUT - 5);
     await asked;
-    await sleep(TELLING_TIME);
+    await sleep(REPORT_TIME);
   }
-  t.equal(workers.ended.length, MOST_ENDED);
+  t.equal(workers.ended.length, MAX_CRASHED);
 });
 
-t.test('a gateway that stops leaves behind what its last request did', async (t) => {
+t.test('a gateway that stops stores the crash report of its last request', async (t) => {
   const all = await startFleet(t, 3);
   const [leaving, ...others] = all.fleet.gateways;
   if (leaving === undefined) return t.fail('no gateway');
   all.fleet.silenceAll();
   leaving.node.beginStop();
   const stopping = leaving.node.stop();
-  await all.fleet.ask(leaving, LETHAL_PATH, LETHAL);
+  await all.fleet.ask(leaving, CRASHING_PATH, LETHAL);
   await stopping;
   await all.fleet.remove(leaving);
-  t.equal(all.fleet.store.keys('fleet/worker-end/').length, MOST_ENDED);
-  await sleep(TELLING_TIME);
-  await allRefuse(t, all.fleet, others);
+  t.equal(all.fleet.store.keys('fleet/worker-end/').length, MAX_CRASHED);
+  await sleep(REPORT_TIME);
+  await assertAllReject(t, all.fleet, others);
 });
 
-t.test('gateways know it while the store is away', async (t) => {
+t.test('gateways reject the request while the store is unreachable', async (t) => {
   const all = await startFleet(t, 3);
   all.fleet.store.setAvailability('refusing');
-  await all.fleet.ask(gatewayAt(all.fleet, 0), LETHAL_PATH, LETHAL);
-  t.equal(all.workers.ended.length, MOST_ENDED);
-  await sleep(TELLING_TIME);
-  await allRefuse(t, all.fleet);
+  await all.fleet.ask(gatewayAt(all.fleet, 0), CRASHING_PATH, LETHAL);
+  t.equal(all.workers.ended.length, MAX_CRASHED);
+  await sleep(REPORT_TIME);
+  await assertAllReject(t, all.fleet);
 });
 
-t.test('a gateway that joins while the store takes no reports is told directly', async (t) => {
+t.test('a gateway that joins while the store accepts no reports gets them directly', async (t) => {
   const all = await startFleet(t, 3);
   const commit = all.fleet.store.commit.bind(all.fleet.store);
-  // Registrations come through, records of workers that ended do not.
+  // Registrations are stored, crash records are not.
   all.fleet.store.commit = (change) =>
     change.put?.some(({ key }) => key.startsWith('fleet/worker-end/')) === true
       ? Promise.resolve({ kind: 'failed', effect: 'not-done' })
       : commit(change);
-  await all.fleet.ask(gatewayAt(all.fleet, 0), LETHAL_PATH, LETHAL);
-  await sleep(TELLING_TIME);
+  await all.fleet.ask(gatewayAt(all.fleet, 0), CRASHING_PATH, LETHAL);
+  await sleep(REPORT_TIME);
   const late = all.fleet.add();
   await eventually(() => late.node.isReady);
-  await sleep(TELLING_TIME);
-  await allRefuse(t, all.fleet, [late]);
+  await sleep(REPORT_TIME);
+  await assertAllReject(t, all.fleet, [late]);
 });
 
-t.test('gateways know it that do not answer each other', async (t) => {
+t.test('gateways that do not answer each other reject the request', async (t) => {
   const all = await startFleet(t, 2);
   all.fleet.silenceAll();
   await quarantine(all);
-  await allRefuse(t, all.fleet);
+  await assertAllReject(t, all.fleet);
 });
 
-t.test('what was reported while the store was away is stored when it is back', async (t) => {
+t.test('reports made while the store was unreachable are stored once it returns', async (t) => {
   const all = await startFleet(t, 3);
   all.fleet.store.setAvailability('refusing');
-  await all.fleet.ask(gatewayAt(all.fleet, 0), LETHAL_PATH, LETHAL);
-  await sleep(TELLING_TIME);
+  await all.fleet.ask(gatewayAt(all.fleet, 0), CRASHING_PATH, LETHAL);
+  await sleep(REPORT_TIME);
   all.fleet.store.setAvailability('up');
-  await eventually(() => all.fleet.store.keys('fleet/worker-end/').length === MOST_ENDED);
+  await eventually(() => all.fleet.store.keys('fleet/worker-end/').length === MAX_CRASHED);
   t.pass();
 });
 
-t.test('requests that were at the same workers are answered, and stay clear', async (t) => {
+t.test('requests that ran on the same workers are answered and not quarantined', async (t) => {
   const { workers, fleet } = await startFleet(t, 2);
   const gateway = gatewayAt(fleet, 0);
   for (let round = 0; round < 4; round += 1) {
     await workers.whole(WORKERS);
-    const lethal = fleet.ask(gateway, `/look/lethal-${round}`, LETHAL);
+    const crashing = fleet.ask(gateway, `/look/lethal-${round}`, LETHAL);
     const others = ['a', 'b', 'c'].map((name) => fleet.ask(gateway, `/look/${name}`, 'lookup'));
-    await lethal;
+    await crashing;
     await Promise.all(others);
   }
   await workers.whole(WORKERS);
@@ -232,7 +220,7 @@
   }
 });
 
-t.test('connections that break at workers that live speak against nothing', async (t) => {
+t.test('connections that break at live workers create no crash record', async (t) => {
   const { fleet } = await startFleet(t, 2);
   for (let round = 0; round < 4; round += 1) {
     const { failure } = await fleet.ask(gatewayAt(fleet, 0), '/look/lost', DISCONNECTING);
@@ -241,11 +229,11 @@
   t.equal(fleet.store.keys('fleet/worker-end/').length, 0);
 });
 
-t.test('an answer at one gateway clears a request at all of them', async (t) => {
+t.test('an answer at one gateway clears the request at all gateways', async (t) => {
   const { workers, fleet } = await startFleet(t, 1);
   const path = '/look/unlucky';
-  // Workers end by themselves while the request is there.
-  for (let round = 0; round < MOST_ENDED - 1; round += 1) {
+  // Workers crash for other reasons while the request is running.
+  for (let round = 0; round < MAX_CRASHED - 1; round += 1) {
     await workers.whole(WORKERS);
     const asked = fleet.ask(gatewayAt(fleet, round), path, 'lookup');
     const at = workers.reached.at(-1)?.worker.id ?? '';
@@ -263,13 +251,13 @@
   t.equal((await fleet.ask(gatewayAt(fleet, 3), path, 'lookup')).status, 200);
 });
 
-t.test('whoever removes the records of a request releases it', async (t) => {
+t.test('removing the records of a request releases it from quarantine', async (t) => {
   const all = await startFleet(t, 3);
   await quarantine(all);
   for (const key of all.fleet.store.keys('fleet/worker-end/')) all.fleet.store.erase(key);
   const gateway = gatewayAt(all.fleet, 2);
   await eventually(() => gateway.lines.length > 0);
-  await sleep(TELLING_TIME);
-  const { failure } = await all.fleet.ask(gateway, LETHAL_PATH, LETHAL);
+  await sleep(REPORT_TIME);
+  const { failure } = await all.fleet.ask(gateway, CRASHING_PATH, LETHAL);
   t.equal(failure?.kind, 'engine_failed');
 });
--- a/test/fleet/region-cut.test.ts
+++ b/test/fleet/region-cut.test.ts
@@ -1,6 +1,6 @@
 /**
- * A fleet over two regions with the store in `north`. `south` is cut off from the other region, or from
- * the store alone: what it serves, what it refuses, and what becomes of its jobs.
+ * A fleet over two regions with the store in `north`: what `south` serves, what it rejects, and how
+ * its jobs go on while it is partitioned from the other region or only from the store.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 import t from 'tap';
@@ -18,10 +18,10 @@
 const SOUTH = 'zone-2';
 const ITEMS = 6;
 
-/** Time beyond the first call without an answer until a node counts itself as cut off. */
-const CUT_OFF_TIME = 500;
+/** Time after the first unanswered call until a node considers the store unreachable. */
+const OUTAGE_NOTICE_TIME = 500;
 
-/** Workers that answer each request at once, and items after a while. */
+/** Workers that answer lookups at once, and items after a while. */
 class RegionalWorkers extends ScriptedEngine implements EnginePort {
   itemTime = 5;
 
@@ -33,7 +33,7 @@
     return answer(events(0, request.path.at(-1) ?? ''), { isStream: true });
   }
 
-  /** Zones of the workers that items went to. */
+  /** Zones of the workers that received items. */
   itemZones(): Set<string> {
     const items = this.requests.filter(({ path }) => path.startsWith('/rollouts/'));
     return new Set(items.map(({ worker }) => worker.zone));
@@ -85,20 +85,20 @@
 type Started = Awaited<ReturnType<typeof startFleet>>;
 type Gateway = Started['inSouth'][number];
 
-/** The leases of a region's nodes run out, as the store does not hear of them. */
-function lapseSouth({ fleet, inSouth }: Started): void {
+/** Expires the leases of the southern nodes. */
+function expireSouthLeases({ fleet, inSouth }: Started): void {
   for (const { name } of inSouth) fleet.store.erase(`fleet/node/${name}`);
 }
 
-/** Resolves once all nodes of the region know that they do not reach the store. */
-async function cutNoticed({ inSouth }: Started): Promise<void> {
+/** Resolves once all southern nodes know that they do not reach the store. */
+async function outageNoticed({ inSouth }: Started): Promise<void> {
   const isNoticed = (line: string): boolean => line.includes('store-lost');
   await eventually(() => inSouth.every(({ lines }) => lines.some(isNoticed)));
-  await sleep(CUT_OFF_TIME);
+  await sleep(OUTAGE_NOTICE_TIME);
 }
 
-/** Reads a job at one gateway from position to position until it is whole; its texts in order. */
-async function untilTold({ node }: Gateway, job: string): Promise<readonly string[]> {
+/** Reads a job at one gateway until all results are listed; returns them in order. */
+async function readAll({ node }: Gateway, job: string): Promise<readonly string[]> {
   const texts: string[] = [];
   while (texts.length < ITEMS) {
     const read = await node.jobs.read(job, texts.length, 0, UNRESTRICTED);
@@ -108,7 +108,7 @@
   return texts;
 }
 
-t.test('on a calm day a region serves its own callers and jobs', async (t) => {
+t.test('without failures a region serves its own callers and jobs', async (t) => {
   const { engine, fleet, inSouth } = await startFleet(t);
   for (const gateway of inSouth) {
     t.equal((await fleet.ask(gateway, '/look/a', 'x')).body, `from ${SOUTH}`);
@@ -116,7 +116,7 @@
   const [first] = inSouth;
   if (first === undefined) return t.fail('no gateway');
   t.equal(await first.node.submit(specification('job', ITEMS), always), undefined);
-  t.equal((await untilTold(first, 'job')).length, ITEMS);
+  t.equal((await readAll(first, 'job')).length, ITEMS);
   t.same([...engine.itemZones()], [SOUTH]);
   const owners = fleet.gateways.filter(({ node }) => node.jobs.ownedJobs().length > 0);
   t.equal(owners.length, 1);
@@ -126,12 +126,12 @@
   );
 });
 
-t.test('a region that is cut off from the other serves lookups and refuses jobs', async (t) => {
+t.test('a region partitioned from the other serves lookups and rejects jobs', async (t) => {
   const started = await startFleet(t);
   const { engine, fleet, inSouth } = started;
   fleet.isLinkUp = false;
   fleet.withoutStore.add('south');
-  await cutNoticed(started);
+  await outageNoticed(started);
   engine.requests.length = 0;
   for (let round = 0; round < 5; round += 1) {
     for (const gateway of inSouth) {
@@ -146,15 +146,15 @@
     isWanted = false;
   }, 1_000);
   const refusal = await first.node.submit(specification('job', ITEMS), () => isWanted);
-  t.ok(refusal !== undefined, 'nothing is promised that only this region would know');
+  t.ok(refusal !== undefined, 'no job is confirmed that only this region would store');
   fleet.isLinkUp = true;
   fleet.withoutStore.clear();
   await eventually(() => fleet.gateways.every(({ node }) => node.liveNodes === 8));
   t.equal(await first.node.submit(specification('job', ITEMS), always), undefined);
-  t.equal((await untilTold(first, 'job')).length, ITEMS);
+  t.equal((await readAll(first, 'job')).length, ITEMS);
 });
 
-t.test('a job of a region that is cut off goes on in the other, and is listed once', async (t) => {
+t.test('a job of a partitioned region goes on in the other, with each result once', async (t) => {
   const started = await startFleet(t);
   const { engine, fleet, inSouth } = started;
   const [first] = inSouth;
@@ -164,25 +164,25 @@
   t.equal(await first.node.submit(specification('job', ITEMS), always), undefined);
   fleet.isLinkUp = false;
   fleet.withoutStore.add('south');
-  lapseSouth(started);
-  const atNorth = await untilTold(inNorth, 'job');
+  expireSouthLeases(started);
+  const atNorth = await readAll(inNorth, 'job');
   t.equal(new Set(atNorth).size, ITEMS, 'each item once');
   const meanwhile = await first.node.jobs.read('job', 0, 0, UNRESTRICTED);
-  const told = 'detail' in meanwhile ? [] : meanwhile.results;
-  t.same(told, [], 'the region that is cut off tells nothing that the store has not taken');
+  const results = 'detail' in meanwhile ? [] : meanwhile.results;
+  t.same(results, [], 'the partitioned region returns no result that the store has not confirmed');
   fleet.isLinkUp = true;
   fleet.withoutStore.clear();
-  t.same(await untilTold(first, 'job'), atNorth, 'the same results at the same positions');
+  t.same(await readAll(first, 'job'), atNorth, 'the same results at the same positions');
 });
 
-t.test('a region that is cut off from the store alone has jobs taken by the other', async (t) => {
+t.test('a region that only lost the store has its jobs accepted by the other', async (t) => {
   const started = await startFleet(t);
   const { fleet, inSouth } = started;
   fleet.withoutStore.add('south');
-  await cutNoticed(started);
+  await outageNoticed(started);
   const [first] = inSouth;
   if (first === undefined) return t.fail('no gateway');
   t.equal(await first.node.submit(specification('job', ITEMS), always), undefined);
-  t.equal((await untilTold(first, 'job')).length, ITEMS);
+  t.equal((await readAll(first, 'job')).length, ITEMS);
   t.equal((await fleet.ask(first, '/look/a', 'x')).body, `from ${SOUTH}`);
 });
--- a/test/fleet/regional-gateways.ts
+++ b/test/fleet/regional-gateways.ts
@@ -1,6 +1,6 @@
 /**
- * Whole gateways in zones of several regions, over one store. What each of them is sent by another is
- * looked into: whether it carries the body of an item, or what was made of one.
+ * Complete gateways in zones of several regions over one store, which record the messages that
+ * carry the body of an item or its result.
  */
 
 import { setTimeout as sleep } from 'node:timers/promises';
@@ -36,9 +36,9 @@
   ['south-2', 'south'],
 ]);
 
-/** What the bodies of all items hold, and what workers make of them. */
+/** The body of every item, and the text that workers return for it. */
 const BODY = Buffer.from('a question').toString('base64');
-const MADE = 'an-answer';
+const RESULT = 'an-answer';
 
 const HOST = 'trainer.example';
 const LIMITS = {
@@ -55,35 +55,35 @@
   stopLimit: 8_000,
 };
 
-/** What carried the body of an item or its result to a gateway. */
+/** A message that carried the body of an item or its result to a gateway. */
 export interface Delivery {
   readonly to: string;
   readonly by: PeerRequest['kind'];
 }
 
-/** The replicas of the zones' journals, by address, and where each of them stands. */
+/** The replicas of the zones' journals, by address, and the place of each. */
 export interface Replicas {
   readonly byAddress: ReadonlyMap<string, PeerHandler>;
   readonly places: readonly ReplicaLocation[];
 }
 
-/** Replicas that keep a job. */
+/** Number of replicas that store a job. */
 const GROUP_SIZE = 2;
 
-/** Regions to which routes and tenants limit their work; those not named may go anywhere. */
+/** Regions to which routes and tenants limit their work; those not named are not limited. */
 export interface Limits {
   readonly routes?: Readonly<Record<string, readonly string[]>>;
   readonly tenants?: Readonly<Record<string, readonly string[]>>;
 }
 
-/** Runs items at once, or holds them until they are given up. */
+/** Answers items at once, or holds them until they are aborted. */
 class SwitchedEngine extends ScriptedEngine {
   holds = false;
 
   override send(request: EngineRequest, signal: AbortSignal): Promise<EngineOutcome> {
     if (this.holds) return super.send(request, signal);
     this.requests.push(request);
-    const event = `id: 0\ndata: ${MADE}\n\n`;
+    const event = `id: 0\ndata: ${RESULT}\n\n`;
     return Promise.resolve(answer(event, { isStream: true }));
   }
 }
@@ -102,25 +102,25 @@
   readonly store = new SharedStoreEmulator();
   readonly engine = new SwitchedEngine();
   readonly deliveries: Delivery[] = [];
-  /** Regions that are cut off from each other. */
+  /** Whether the regions are partitioned from each other. */
   areRegionsApart = false;
-  /** Time that each commit takes at the store. */
+  /** Delay of each commit at the store. */
   commitTime: Milliseconds = 0;
   /** Gateways that do not reach the store. */
   readonly withoutStore = new Set<string>();
-  /** Gateways that no other one reaches. */
+  /** Gateways that no other gateway reaches. */
   readonly alone = new Set<string>();
   private readonly gateways = new Map<string, RegionalGateway>();
   private version = 0;
 
-  /** With replicas each zone serves its own callers. */
+  /** With replicas, each zone serves its own callers. */
   constructor(private readonly replicas: Replicas = { byAddress: new Map(), places: [] }) {
     for (const place of replicas.places) {
       this.store.write(`${REPLICA_PREFIX}${place.node}`, JSON.stringify(place));
     }
   }
 
-  /** Starts gateways, given by the zone of each; one worker stands in each region. */
+  /** Starts gateways, given by the zone of each; each region has one worker. */
   async start(zones: Readonly<Record<string, string>>, limits: Limits): Promise<void> {
     this.configure(limits);
     for (const zone of ['north-1', 'south-1']) {
@@ -139,7 +139,7 @@
     this.store.setAvailability('refusing');
   }
 
-  /** Puts a configuration into force; each service path is a route of that name. */
+  /** Writes a configuration; each service path is a route of that name. */
   configure({ routes = {}, tenants = {} }: Limits): void {
     this.version += 1;
     const common = { host: HOST, kind: 'rollout', service: 'service', max_attempts: 3 };
@@ -155,7 +155,7 @@
     this.store.write('op/config', JSON.stringify({ ...configuration, tenants: owners }));
   }
 
-  /** Resolves once all gateways act on the newest configuration. */
+  /** Resolves once all gateways have applied the newest configuration. */
   async configured(): Promise<void> {
     const { version } = this;
     await eventually(() => this.all().every(({ node }) => node.configuration.version === version));
@@ -171,7 +171,7 @@
     return gateway;
   }
 
-  /** Names of the gateways that run a job. */
+  /** Names of the gateways that own a job. */
   runnersOf(job: string): string[] {
     const runs = ({ node }: RegionalGateway): boolean =>
       node.jobs.ownedJobs().some((owned) => owned.spec.id === job && owned.isOpen);
@@ -180,13 +180,13 @@
       .map(({ name }) => name);
   }
 
-  /** Gateways of a region that another one has sent a body or a result. */
+  /** Gateways of a region that received a body or a result from another gateway. */
   reachedIn(region: string): string[] {
     const reached = this.deliveries.filter(({ to }) => this.regionOf(to) === region);
     return [...new Set(reached.map(({ to, by }) => `${to} by ${by}`))];
   }
 
-  /** Regions of the workers that were sent something. */
+  /** Regions of the workers that received requests. */
   workerRegions(): string[] {
     const zones = this.engine.requests.map(({ worker }) => ZONE_REGIONS.get(worker.zone) ?? '');
     return [...new Set(zones)];
@@ -219,7 +219,7 @@
     node.start();
   }
 
-  /** The store, unless it is out of reach of the gateway. */
+  /** The store, unless it is unreachable for the gateway. */
   private storeOf(name: string): SharedStore {
     const failed = { kind: 'failed', effect: 'not-done' } as const;
     return new Proxy(this.store, {
@@ -241,16 +241,16 @@
         request: PeerRequest,
       ): Promise<PeerOutcome<Kind>> => {
         const target = this.replicas.byAddress.get(to) ?? this.gateways.get(to)?.node.peerHandler;
-        if (target === undefined || this.areApart(from, to)) return { kind: 'silent' };
+        if (target === undefined || this.arePartitioned(from, to)) return { kind: 'silent' };
         this.noteDelivery(to, request.kind, request);
-        const told = await target.answer(request);
-        this.noteDelivery(from, request.kind, told);
-        return { kind: 'answered', answer: told } as PeerOutcome<Kind>;
+        const answered = await target.answer(request);
+        this.noteDelivery(from, request.kind, answered);
+        return { kind: 'answered', answer: answered } as PeerOutcome<Kind>;
       },
     };
   }
 
-  private areApart(from: string, to: string): boolean {
+  private arePartitioned(from: string, to: string): boolean {
     if (this.alone.has(from) || this.alone.has(to)) return true;
     return this.areRegionsApart && this.regionOf(from) !== this.regionOf(to);
   }
@@ -259,11 +259,11 @@
     const text = JSON.stringify(message, (_, value: unknown) =>
       value instanceof Map ? [...value] : value,
     );
-    if (text.includes(BODY) || text.includes(MADE)) this.deliveries.push({ to, by });
+    if (text.includes(BODY) || text.includes(RESULT)) this.deliveries.push({ to, by });
   }
 }
 
-/** Two replicas in each zone, which go with a test. */
+/** Two replicas in each zone, which stop with the test. */
 export async function replicasInAllZones(test: Pick<typeof t, 'teardown'>): Promise<Replicas> {
   const byAddress = new Map<string, PeerHandler>();
   const places: ReplicaLocation[] = [];
--- a/test/fleet/regional-relays.test.ts
+++ b/test/fleet/regional-relays.test.ts
@@ -1,6 +1,6 @@
 /**
- * A fleet over two regions with the store in one of them. One relay of each zone read the store, so that
- * each change crossed the link once for each zone of the far region.
+ * Guards against one read of the store for each zone of a remote region: each change crosses the
+ * link to a region once.
  */
 import t from 'tap';
 import { PROCESS_CLOCK } from '../../src/serving/clock.js';
@@ -19,40 +19,44 @@
 
 const byName = (zone: string): string => zone.split('-')[0] ?? zone;
 
-/** Calls of the nodes of a region at the store so far. */
+/** Calls of the nodes of a region to the store so far. */
 function callsFrom(fleet: RelayedFleet, region: string): number {
-  const calls = [...fleet.callsBy].filter(([node]) => node.startsWith(region));
+  const calls = [...fleet.storeCallsByNode].filter(([node]) => node.startsWith(region));
   return calls.reduce((sum, [, count]) => sum + count, 0);
 }
 
-/** Calls that so many changes cost the far region, once all of its relays have found their way. */
+/**
+ * Calls of the far region for {@link CHANGES} changes, once all of its relays have found the first
+ * one.
+ */
 async function costOfChanges(fleet: RelayedFleet): Promise<number> {
-  let least = Number.POSITIVE_INFINITY;
+  let minimum = Number.POSITIVE_INFINITY;
   for (let tries = 0; tries < 5; tries += 1) {
-    // A relay that was asked before it followed is left alone for two seconds.
+    // A relay that was requested before it watched is excluded for two seconds.
     if (tries > 0) await PROCESS_CLOCK.sleep(600);
     const before = callsFrom(fleet, 'far');
     for (let change = 0; change < CHANGES; change += 1) {
-      await fleet.timeToKnow(`${tries}-${change}`, fleet.names());
+      await fleet.propagationTime(`${tries}-${change}`, fleet.names());
     }
-    least = Math.min(least, callsFrom(fleet, 'far') - before);
+    minimum = Math.min(minimum, callsFrom(fleet, 'far') - before);
   }
-  return least;
+  return minimum;
 }
 
 /** The relay of the far region that reads the store for the others. */
-async function firstOfFar(fleet: RelayedFleet): Promise<string> {
+async function firstFarRelay(fleet: RelayedFleet): Promise<string> {
   await costOfChanges(fleet);
-  const before = new Map(fleet.callsBy);
+  const before = new Map(fleet.storeCallsByNode);
   for (let change = 0; change < CHANGES; change += 1) {
-    await fleet.timeToKnow(`first-${change}`, fleet.names());
+    await fleet.propagationTime(`first-${change}`, fleet.names());
   }
-  const grown = (node: string): number => (fleet.callsBy.get(node) ?? 0) - (before.get(node) ?? 0);
+  const callsSince = (node: string): number =>
+    (fleet.storeCallsByNode.get(node) ?? 0) - (before.get(node) ?? 0);
   const far = fleet.names().filter((node) => node.startsWith('far'));
-  return far.reduce((best, node) => (grown(node) > grown(best) ? node : best));
+  return far.reduce((best, node) => (callsSince(node) > callsSince(best) ? node : best));
 }
 
-t.test('a change crosses the link to a region once, and not once for each zone', async (t) => {
+t.test('a change crosses the link to a region once, not once for each zone', async (t) => {
   const before = fleetWith();
   await before.start();
   const costBefore = await costOfChanges(before);
@@ -63,62 +67,65 @@
   after.stop();
   const costs = `${costBefore} calls for ${CHANGES} changes by zone, ${costAfter} by region`;
   t.comment(costs);
-  // Changes that come close together may cost one answer.
+  // Changes close together may share one answer.
   t.ok(costBefore > 2 * CHANGES && costAfter <= CHANGES, costs);
 });
 
-t.test('where the first relay falls silent, a change is known in time', async (t) => {
+t.test('a change arrives in time when the first relay stops answering', async (t) => {
   const fleet = fleetWith(byName);
   await fleet.start();
-  const first = await firstOfFar(fleet);
+  const first = await firstFarRelay(fleet);
   fleet.silent.add(first);
   const others = fleet.names().filter((node) => node !== first);
-  const time = await fleet.timeToKnow('silenced', others);
-  t.ok(time < CHANGE_BOUND, `known after ${Math.round(time)} ms`);
+  const time = await fleet.propagationTime('silenced', others);
+  t.ok(time < CHANGE_BOUND, `received after ${Math.round(time)} ms`);
   const before = callsFrom(fleet, 'far');
   for (let change = 0; change < CHANGES; change += 1) {
-    await fleet.timeToKnow(`later-${change}`, others);
+    await fleet.propagationTime(`later-${change}`, others);
   }
   const cost = callsFrom(fleet, 'far') - before;
   t.ok(cost <= 4 * CHANGES, `${cost} calls: a copy for each zone at most, not for each gateway`);
   fleet.stop();
 });
 
-t.test(
-  'where the first relay alone is cut off from the store, a change is known in time',
-  async (t) => {
-    const fleet = fleetWith(byName);
-    await fleet.start();
-    const first = await firstOfFar(fleet);
-    fleet.cutOff(first);
-    const others = fleet.names().filter((node) => node !== first);
-    const time = await fleet.timeToKnow('cut', others);
-    t.ok(time < CHANGE_BOUND, `known after ${Math.round(time)} ms`);
-    fleet.stop();
-  },
-);
+t.test('a change arrives in time when only the first relay loses the store', async (t) => {
+  const fleet = fleetWith(byName);
+  await fleet.start();
+  const first = await firstFarRelay(fleet);
+  fleet.blockStore(first);
+  const others = fleet.names().filter((node) => node !== first);
+  const time = await fleet.propagationTime('cut', others);
+  t.ok(time < CHANGE_BOUND, `received after ${Math.round(time)} ms`);
+  fleet.stop();
+});
 
-t.test('a region that is cut off from the store hears by way of the other', async (t) => {
+t.test('a region that lost the store receives changes through the other', async (t) => {
   const fleet = fleetWith(byName);
   await fleet.start();
-  for (const node of fleet.names()) if (node.startsWith('far')) fleet.cutOff(node);
-  const time = await fleet.timeToKnow('cut', fleet.followers());
-  t.ok(time < 2 * CHANGE_BOUND, `known after ${Math.round(time)} ms`);
+  for (const node of fleet.names()) if (node.startsWith('far')) fleet.blockStore(node);
+  const time = await fleet.propagationTime('cut', fleet.followers());
+  t.ok(time < 2 * CHANGE_BOUND, `received after ${Math.round(time)} ms`);
   fleet.stop();
 });
 
-t.test('a relay that reads by way of another tells no third one', async (t) => {
+t.test('a relay that reads through another answers followers but no third relay', async (t) => {
   const fleet = fleetWith(byName);
   await fleet.start();
-  const first = await firstOfFar(fleet);
+  const first = await firstFarRelay(fleet);
   const second = fleet.relays().find((node) => node.startsWith('far') && node !== first) ?? '';
-  t.notSame(await fleet.askOne(first, { kind: 'list-prefix', prefix: PREFIX, forRelay: true }), {
-    isCurrent: false,
-  });
-  t.same(await fleet.askOne(second, { kind: 'list-prefix', prefix: PREFIX, forRelay: true }), {
-    isCurrent: false,
-  });
-  t.notSame(await fleet.askOne(second, { kind: 'list-prefix', prefix: PREFIX }), {
+  t.notSame(
+    await fleet.listAnswerOf(first, { kind: 'list-prefix', prefix: PREFIX, forRelay: true }),
+    {
+      isCurrent: false,
+    },
+  );
+  t.same(
+    await fleet.listAnswerOf(second, { kind: 'list-prefix', prefix: PREFIX, forRelay: true }),
+    {
+      isCurrent: false,
+    },
+  );
+  t.notSame(await fleet.listAnswerOf(second, { kind: 'list-prefix', prefix: PREFIX }), {
     isCurrent: false,
   });
   fleet.stop();
--- a/test/fleet/relayed-fleet.ts
+++ b/test/fleet/relayed-fleet.ts
@@ -1,4 +1,7 @@
-/** Nodes of several zones over one store, for tests: each may lose the store, fall silent, or hang. */
+/**
+ * Nodes of several zones over one store, for tests; each may lose the store, stop answering, or
+ * hang.
+ */
 import { SharedStoreEmulator } from '../../lab/emulator/shared-store-emulator.js';
 import type { Milliseconds } from '../../src/core/units.js';
 import type { RelayFleet } from '../../src/fleet/relay-choice.js';
@@ -10,13 +13,13 @@
 import { FleetMetrics } from '../../src/telemetry/fleet-metrics.js';
 import { eventually } from './fleet-fixtures.js';
 
-/** What all nodes follow. */
+/** The prefix that all nodes watch. */
 export const PREFIX = 'workers/';
 
-/** Time in which a change has to be in force at all nodes. */
+/** Time within which a change must take effect at all nodes. */
 export const CHANGE_BOUND: Milliseconds = 2_000;
 
-/** Time after which a call without an answer fails, as the store's client has it. */
+/** Timeout of calls, as in the store's client. */
 const CALL_TIMEOUT: Milliseconds = 900;
 
 /** A line of a node's log. */
@@ -31,31 +34,31 @@
   readonly relay: WatchRelay;
   readonly watcher: PrefixWatcher;
   readonly values: Map<string, string>;
-  readonly heardAt: Map<string, Milliseconds>;
+  readonly receivedAt: Map<string, Milliseconds>;
 }
 
-type Pauses = Pick<PrefixWatcherOptions, 'coalesce' | 'retryPause'>;
+type Delays = Pick<PrefixWatcherOptions, 'coalesce' | 'retryPause'>;
 
 /** The nodes. */
 export class RelayedFleet {
   readonly store = new SharedStoreEmulator();
   /** Nodes that do not answer other nodes. */
   readonly silent = new Set<string>();
-  /** Nodes whose leases were renewed too long ago, though the store answers them. */
+  /** Nodes whose last lease renewal is too old, though the store answers them. */
   readonly staleLeases = new Set<string>();
   readonly lines: LoggedState[] = [];
-  /** Questions to relays, by kind. */
-  readonly asked = new Map<string, number>();
+  /** Requests to relays, by kind. */
+  readonly requestCounts = new Map<string, number>();
   /** Lists and watches of each node at the store. */
-  readonly callsBy = new Map<string, number>();
+  readonly storeCallsByNode = new Map<string, number>();
   private readonly nodes = new Map<string, RelayedNode>();
-  private readonly cutOffSince = new Map<string, Milliseconds>();
+  private readonly storeBlockedSince = new Map<string, Milliseconds>();
   private silencedAt: Milliseconds = Number.NEGATIVE_INFINITY;
 
   /** Names of zones by node. */
   constructor(
     zones: Readonly<Record<string, string>>,
-    private readonly pauses: Pauses = {},
+    private readonly delays: Delays = {},
     /** The region of a zone, where the fleet spans several. */
     private readonly regionOf?: (zone: string) => string,
   ) {
@@ -63,13 +66,13 @@
     for (const [node, zone] of Object.entries(zones)) this.add(node, zone);
   }
 
-  /** Starts all nodes; resolves once all of them follow. */
+  /** Starts all nodes; resolves once all of them receive changes. */
   async start(): Promise<void> {
     for (const { watcher } of this.nodes.values()) void watcher.run();
-    await this.allKnow('w1', 'ready');
-    // The first questions may come before the relay itself watches.
+    await this.allReceive('w1', 'ready');
+    // The first requests may arrive before the relay itself watches.
     this.store.write(`${PREFIX}w1`, 'busy');
-    await this.allKnow('w1', 'busy');
+    await this.allReceive('w1', 'busy');
     await PROCESS_CLOCK.sleep(20);
   }
 
@@ -77,12 +80,12 @@
     for (const { watcher } of this.nodes.values()) watcher.stop();
   }
 
-  /** The nodes that follow the store for the others. */
+  /** The relays. */
   relays(): string[] {
     return this.names().filter((name) => this.nodes.get(name)?.relay.isRelay === true);
   }
 
-  /** The nodes that ask relays. */
+  /** The nodes that read through relays. */
   followers(): string[] {
     return this.names().filter((name) => this.nodes.get(name)?.relay.isRelay === false);
   }
@@ -95,38 +98,38 @@
     return this.nodes.get(node)?.zone;
   }
 
-  /** The store answers this node no more from now on, and renewed its lease just before. */
-  cutOff(node: string): void {
-    this.cutOffSince.set(node, PROCESS_CLOCK.now());
+  /** The store stops answering this node, just after it renewed its lease. */
+  blockStore(node: string): void {
+    this.storeBlockedSince.set(node, PROCESS_CLOCK.now());
   }
 
   /** The store answers this node again, and renews its lease. */
-  heal(node: string): void {
-    this.cutOffSince.delete(node);
+  unblockStore(node: string): void {
+    this.storeBlockedSince.delete(node);
   }
 
-  /** The connections on which watches wait now go silent for good; all other calls are answered. */
+  /** Stalls the connections on which watches wait now; all other calls are answered. */
   silenceOpenWatches(): void {
     this.silencedAt = PROCESS_CLOCK.now();
   }
 
-  /** Nodes that know the value. */
-  knowing(key: string, value: string): string[] {
+  /** Nodes that have received the value. */
+  nodesWith(key: string, value: string): string[] {
     return this.names().filter(
       (node) => this.nodes.get(node)?.values.get(`${PREFIX}${key}`) === value,
     );
   }
 
-  async allKnow(key: string, value: string, nodes = this.names()): Promise<void> {
-    await eventually(() => nodes.every((node) => this.knowing(key, value).includes(node)));
+  async allReceive(key: string, value: string, nodes = this.names()): Promise<void> {
+    await eventually(() => nodes.every((node) => this.nodesWith(key, value).includes(node)));
   }
 
-  /** Writes a change; resolves to the time until the last of the nodes knew it. */
-  async timeToKnow(value: string, nodes: readonly string[]): Promise<Milliseconds> {
+  /** Writes a change; resolves to the time until the last of the nodes received it. */
+  async propagationTime(value: string, nodes: readonly string[]): Promise<Milliseconds> {
     const startedAt = PROCESS_CLOCK.now();
     this.store.write(`${PREFIX}w1`, value);
-    await this.allKnow('w1', value, [...nodes]);
-    const times = nodes.map((node) => this.nodes.get(node)?.heardAt.get(value) ?? 0);
+    await this.allReceive('w1', value, [...nodes]);
+    const times = nodes.map((node) => this.nodes.get(node)?.receivedAt.get(value) ?? 0);
     return Math.max(...times) - startedAt;
   }
 
@@ -135,8 +138,8 @@
     return this.nodes.get(node)?.relay.contactAge(PREFIX) ?? Number.POSITIVE_INFINITY;
   }
 
-  /** What a node answers to one question for a list. */
-  askOne(node: string, request: PeerRequestOf<'list-prefix'>): unknown {
+  /** A node's answer to one request for a list. */
+  listAnswerOf(node: string, request: PeerRequestOf<'list-prefix'>): unknown {
     return this.nodes.get(node)?.relay.answerList(request);
   }
 
@@ -144,7 +147,7 @@
     return this.store.calls.get('watch') ?? 0;
   }
 
-  /** Lists and watches that came to the store. */
+  /** Lists and watches at the store. */
   get calls(): number {
     return this.watchCalls + (this.store.calls.get('range') ?? 0);
   }
@@ -173,23 +176,23 @@
     const watcher = new PrefixWatcher({
       store: relay.relayedStore(),
       prefix: PREFIX,
-      ...this.pauses,
+      ...this.delays,
     });
     const values = new Map<string, string>();
-    const heardAt = new Map<string, Milliseconds>();
+    const receivedAt = new Map<string, Milliseconds>();
     watcher.updates.subscribe(({ changes }) => {
       for (const { key, value = 'gone' } of changes) {
         values.set(key, value);
-        heardAt.set(value, PROCESS_CLOCK.now());
+        receivedAt.set(value, PROCESS_CLOCK.now());
       }
     });
-    this.nodes.set(node, { zone, relay, watcher, values, heardAt });
+    this.nodes.set(node, { zone, relay, watcher, values, receivedAt });
   }
 
   private renewalAge(node: string): Milliseconds {
     if (this.staleLeases.has(node)) return Number.POSITIVE_INFINITY;
     const now = PROCESS_CLOCK.now();
-    return now - (this.cutOffSince.get(node) ?? now);
+    return now - (this.storeBlockedSince.get(node) ?? now);
   }
 
   /** The store as this node reaches it. */
@@ -199,22 +202,23 @@
       await PROCESS_CLOCK.sleep(Math.max(0, wait));
       return { kind: 'failed', effect: 'unknown' } as const;
     };
-    const isCut = (): boolean => this.cutOffSince.has(node);
-    const noteCall = (): void => void this.callsBy.set(node, (this.callsBy.get(node) ?? 0) + 1);
+    const isBlocked = (): boolean => this.storeBlockedSince.has(node);
+    const noteCall = (): void =>
+      void this.storeCallsByNode.set(node, (this.storeCallsByNode.get(node) ?? 0) + 1);
     return {
       get: (key) => store.get(key),
       range: (prefix) => {
         noteCall();
-        return isCut() ? unanswered(CALL_TIMEOUT) : store.range(prefix);
+        return isBlocked() ? unanswered(CALL_TIMEOUT) : store.range(prefix);
       },
       watch: async (prefix, after, wait, signal) => {
         noteCall();
-        if (isCut()) return unanswered(CALL_TIMEOUT);
+        if (isBlocked()) return unanswered(CALL_TIMEOUT);
         const startedAt = PROCESS_CLOCK.now();
         const outcome = await store.watch(prefix, after, wait, signal);
-        const isUnheard = isCut() || startedAt < this.silencedAt;
-        if (!isUnheard || signal.aborted) return outcome;
-        // Whatever the watch told is lost on the way; the caller's own limit ends the call.
+        const isLost = isBlocked() || startedAt < this.silencedAt;
+        if (!isLost || signal.aborted) return outcome;
+        // The answer is lost on the way; the caller's own limit ends the call.
         return unanswered(startedAt + wait + CALL_TIMEOUT - PROCESS_CLOCK.now());
       },
       commit: (commit) => store.commit(commit),
@@ -227,11 +231,11 @@
   private peers(): PeerPort {
     return {
       request: async (address, request, limit) => {
-        this.asked.set(request.kind, (this.asked.get(request.kind) ?? 0) + 1);
+        this.requestCounts.set(request.kind, (this.requestCounts.get(request.kind) ?? 0) + 1);
         const startedAt = PROCESS_CLOCK.now();
         const answer = this.silent.has(address) ? undefined : this.answerAt(address, request);
         const outcome = await answer;
-        // Whoever fell silent meanwhile does not answer what it was asked before either.
+        // A node that was silenced meanwhile does not answer earlier requests either.
         if (outcome !== undefined && !this.silent.has(address)) return outcome;
         await PROCESS_CLOCK.sleep(Math.max(0, startedAt + limit - PROCESS_CLOCK.now()));
         return { kind: 'silent' };
@@ -253,7 +257,7 @@
   }
 }
 
-/** A relay of its own zone, whose watch from revision 1 waits at the store. */
+/** A relay of its own zone, with a watch from revision 1 pending at the store. */
 export async function watchingRelay(renewalAge: () => number = () => 0): Promise<{
   readonly store: SharedStoreEmulator;
   readonly relay: WatchRelay;
--- a/test/fleet/suspended-node.test.ts
+++ b/test/fleet/suspended-node.test.ts
@@ -1,7 +1,6 @@
 /**
- * A machine that is suspended for seconds stands still with its steady clock. Whatever a node
- * believed for a limited time looked as fresh as before when it woke: it gave orders under a lock
- * that had gone to another, and told its followers "nothing new" of a store that it had not heard.
+ * Guards against cached state that looks fresh after a suspension, during which the steady clock
+ * stands still: orders under an expired lock, and answers about a store that has not answered.
  */
 import t from 'tap';
 import { SharedStoreEmulator } from '../../lab/emulator/shared-store-emulator.js';
@@ -82,7 +81,7 @@
   t.ok(fleet.renewalAge() < 1_000);
 });
 
-t.test('one that grants permits for cold workers grants none after a suspension', async (t) => {
+t.test('a coordinator grants no permits for cold workers after a suspension', async (t) => {
   const { store, clock, lock } = await coordinator(t);
   const warmth = new WorkerWarmth(clock);
   const cold = worker('w1', { coldFor: 60_000 });
@@ -94,20 +93,20 @@
     fencingToken: () => lock.fencingToken(),
     coldStartOf: () => ({ duration: 60_000, requestsPerSecond: 9 }),
   });
-  const wish = { worker: 'w1', life: 'w1', permits: 1, doubtAge: undefined };
-  await eventually(() => granter.answer([wish]).grants[0]?.permits === 1);
+  const permitRequest = { worker: 'w1', life: 'w1', permits: 1, doubtAge: undefined };
+  await eventually(() => granter.answer([permitRequest]).grants[0]?.permits === 1);
   store.setAvailability('silent');
   clock.suspended += 3_000;
-  t.same(granter.answer([wish]), NOT_GRANTER, 'at once');
+  t.same(granter.answer([permitRequest]), NOT_GRANTER, 'at once');
   store.lapseLeases();
   store.setAvailability('up');
   const before = granter.observe();
   await eventually(() => lock.fencingToken() !== undefined);
   t.equal(before, 'none');
-  t.equal(granter.answer([wish]).grants[0]?.permits, 0, 'a new term waits');
+  t.equal(granter.answer([permitRequest]).grants[0]?.permits, 0, 'a new term waits');
 });
 
-t.test('a lease that lapsed meanwhile takes the lock with it', async (t) => {
+t.test('the lock expires with a lease that expired during a suspension', async (t) => {
   const { store, clock, lock } = await coordinator(t);
   const before = lock.fencingToken() ?? 0;
   store.setAvailability('silent');
@@ -116,10 +115,10 @@
   t.equal(lock.fencingToken(), undefined);
   store.setAvailability('up');
   await eventually(() => (lock.fencingToken() ?? 0) > before);
-  t.pass('it is taken again under a higher token');
+  t.pass('it is reacquired with a higher token');
 });
 
-t.test('a suspension shorter than the lease costs nothing', async (t) => {
+t.test('a suspension shorter than the lease has no effect', async (t) => {
   const { clock, fleet, lock } = await coordinator(t);
   const before = lock.fencingToken();
   await eventually(() => fleet.renewalAge() < 100);
@@ -128,7 +127,7 @@
 });
 
 t.test(
-  'a relay that was suspended does not say "nothing new" of what it has not heard',
+  'a relay that was suspended does not report "no changes" that it cannot know of',
   async (t) => {
     const store = new SharedStoreEmulator();
     const clock = new SuspendableClock();
@@ -142,10 +141,10 @@
       changeBound: () => 2_000,
     });
     await direct.list('workers/');
-    const question = { kind: 'follow-prefix', prefix: 'workers/', after: 1, wait: 0 } as const;
-    t.match(await direct.answer(question), { isCurrent: true });
+    const request = { kind: 'follow-prefix', prefix: 'workers/', after: 1, wait: 0 } as const;
+    t.match(await direct.answer(request), { isCurrent: true });
     clock.suspended += 1_500;
-    t.same(await direct.answer(question), { isCurrent: false });
+    t.same(await direct.answer(request), { isCurrent: false });
     t.same(direct.answerList({ kind: 'list-prefix', prefix: 'workers/' }), { isCurrent: false });
   },
 );
