--- a/src/fleet/fleet-peers.ts
+++ b/src/fleet/fleet-peers.ts
@@ -102,8 +102,8 @@
     const work = new Map<string, DigestedWork>();
     for (const outcome of outcomes) {
       if (outcome?.kind !== 'answered') continue;
-      for (const [id, kept] of outcome.answer.work) {
-        if (hasMoreProgress(kept, work.get(id))) work.set(id, kept);
+      for (const [id, itemWork] of outcome.answer.work) {
+        if (hasMoreProgress(itemWork, work.get(id))) work.set(id, itemWork);
       }
     }
     return work;
--- a/src/fleet/peer-request-handler.ts
+++ b/src/fleet/peer-request-handler.ts
@@ -42,7 +42,7 @@
   /**
    * Called on the coordinator: decides on permits to use cold workers that another node requests.
    */
-  readonly permits: (wishes: readonly PermitRequest[]) => PermitAnswer;
+  readonly permits: (requests: readonly PermitRequest[]) => PermitAnswer;
   /** Whether this zone accepts jobs while the store is unreachable. */
   readonly acceptsJobsWithoutStore: () => boolean;
 }
--- a/src/fleet/peer-requester.ts
+++ b/src/fleet/peer-requester.ts
@@ -85,10 +85,10 @@
    */
   async findNodeReachingStore(
     where: 'anywhere' | 'own-zone' = 'anywhere',
-    mayAsk: MayHold = () => true,
+    mayRequest: MayHold = () => true,
   ): Promise<NodeId | undefined> {
     if (!this.options.fleet.isStoreUnreachable) return undefined;
-    const states = this.nodesToProbe(where, mayAsk).map(async (node) =>
+    const states = this.nodesToProbe(where, mayRequest).map(async (node) =>
       (await this.canReachStore(node)) ? node : undefined,
     );
     return (await Promise.all(states)).find((node) => node !== undefined);
@@ -98,9 +98,9 @@
    * The nearest nodes, and some of another region if there is one, as a whole region may be
    * partitioned from the store.
    */
-  private nodesToProbe(where: 'anywhere' | 'own-zone', mayAsk: MayHold): NodeId[] {
+  private nodesToProbe(where: 'anywhere' | 'own-zone', mayRequest: MayHold): NodeId[] {
     const { fleet, self, zone, distanceBetween = distanceInOneRegion } = this.options;
-    const others = fleet.liveNodes().filter((node) => node !== self.node && mayAsk(node));
+    const others = fleet.liveNodes().filter((node) => node !== self.node && mayRequest(node));
     const nodesAt = (distance: ZoneDistance): NodeId[] =>
       others.filter((node) => distanceBetween(zone, fleet.zoneOf(node) ?? zone) === distance);
     if (where === 'own-zone') return nodesAt('same-zone').slice(0, MAX_STORE_PROBES);
--- a/test/fleet/query-of-death.test.ts
+++ b/test/fleet/query-of-death.test.ts
@@ -136,11 +136,11 @@
   const { workers, fleet } = await startFleet(t, 2);
   for (const gateway of fleet.gateways) {
     await workers.whole(WORKERS);
-    const asked = fleet.ask(gateway, CRASHING_PATH, LETHAL);
+    const pending = fleet.ask(gateway, CRASHING_PATH, LETHAL);
     await new Promise((resolve) => setImmediate(resolve));
     // The first crash is noticed, and the next worker is requested just before the deadline.
     blockEventLoop(ROUTE_TIMEOUT - 5);
-    await asked;
+    await pending;
     await sleep(REPORT_TIME);
   }
   t.equal(workers.ended.length, MAX_CRASHED);
@@ -235,10 +235,10 @@
   // Workers crash for other reasons while the request is running.
   for (let round = 0; round < MAX_CRASHED - 1; round += 1) {
     await workers.whole(WORKERS);
-    const asked = fleet.ask(gatewayAt(fleet, round), path, 'lookup');
+    const pending = fleet.ask(gatewayAt(fleet, round), path, 'lookup');
     const at = workers.reached.at(-1)?.worker.id ?? '';
     workers.end(at);
-    t.equal((await asked).failure?.kind, 'engine_failed');
+    t.equal((await pending).failure?.kind, 'engine_failed');
     await eventually(() => fleet.store.keys('fleet/worker-end/').length === round + 1);
   }
   await workers.whole(WORKERS);
--- a/test/fleet/region-cut.test.ts
+++ b/test/fleet/region-cut.test.ts
@@ -167,8 +167,8 @@
   expireSouthLeases(started);
   const atNorth = await readAll(inNorth, 'job');
   t.equal(new Set(atNorth).size, ITEMS, 'each item once');
-  const meanwhile = await first.node.jobs.read('job', 0, 0, UNRESTRICTED);
-  const results = 'detail' in meanwhile ? [] : meanwhile.results;
+  const partitionedRead = await first.node.jobs.read('job', 0, 0, UNRESTRICTED);
+  const results = 'detail' in partitionedRead ? [] : partitionedRead.results;
   t.same(results, [], 'the partitioned region returns no result that the store has not confirmed');
   fleet.isLinkUp = true;
   fleet.withoutStore.clear();
--- a/test/fleet/turned-away-relay.test.ts
+++ b/test/fleet/turned-away-relay.test.ts
@@ -98,11 +98,11 @@
     for (const isRelay of [true, false]) {
       const fleet = await startFleet({ ...TWO_ZONES, 'zone-2-c': 'zone-2' });
       const [own = '', far = ''] = fleet.relays();
-      const struck = isRelay ? own : (fleet.followers()[0] ?? '');
-      for (const relay of fleet.relays()) if (relay !== struck) fleet.silent.add(relay);
-      fleet.blockStore(struck);
-      await eventually(() => fleet.contactAgeOf(struck) > 1_000);
-      const oldest = await maxContactAge(fleet, struck);
+      const affected = isRelay ? own : (fleet.followers()[0] ?? '');
+      for (const relay of fleet.relays()) if (relay !== affected) fleet.silent.add(relay);
+      fleet.blockStore(affected);
+      await eventually(() => fleet.contactAgeOf(affected) > 1_000);
+      const oldest = await maxContactAge(fleet, affected);
       t.ok(
         oldest < MIN_PARTITION_AGE,
         `${isRelay ? 'a relay' : 'a follower'}: ${oldest} ms without contact, ${far} failed`,
