--- a/src/serving/active-configuration.ts
+++ b/src/serving/active-configuration.ts
@@ -1,6 +1,6 @@
 /**
- * The operator's configuration that a node acts on: which route a request takes, on whose behalf it
- * comes, and what callers may send. It never goes back to an older version.
+ * The operator's configuration that a node applies: routes, identification of callers, and limits.
+ * It never goes back to an older version.
  */
 import type { RegionName } from '../core/identity.js';
 import type { Milliseconds } from '../core/units.js';
@@ -17,7 +17,7 @@
   TrafficLimits,
 } from './traffic-configuration.js';
 
-/** When to come back to a node that has no configuration yet: some looks at the store later. */
+/** Retry hint of a node without a configuration: a few polls of the store. */
 const CONFIGURATION_RETRY_AFTER: Milliseconds = 300;
 
 const NO_CONFIGURATION = failure('configuration_unavailable', 'no configuration is known yet', {
@@ -28,17 +28,16 @@
 export interface ActiveConfigurationOptions {
   readonly log: DecisionLog;
   readonly metrics: FleetMetrics;
-  /** Whether the settings know a region. @default they know any */
+  /** Whether the settings name a region. @default all regions are known */
   readonly isRegionKnown?: (region: RegionName) => boolean;
 }
 
-/** Holds the newest configuration. */
 export class ActiveConfiguration {
   private matcher: RouteMatcher | undefined;
 
   constructor(private readonly options: ActiveConfigurationOptions) {}
 
-  /** Takes a configuration into force, unless a newer one is; tells whether it did. */
+  /** Applies a configuration; returns false if the same or a newer version is active. */
   apply(configuration: TrafficConfiguration): boolean {
     const current = this.version;
     if (current !== undefined && configuration.version <= current) return false;
@@ -53,7 +52,7 @@
     return true;
   }
 
-  /** A region that no zone lies in allows nothing; its name may be a slip. */
+  /** Logs regions without a zone: they allow nothing, and may be misspelled. */
   private noteUnknownRegions({ version, routes, tenants = [] }: TrafficConfiguration): void {
     const { log, isRegionKnown = () => true } = this.options;
     const limited = [
@@ -62,13 +61,13 @@
     ];
     for (const { limits, allowedRegions = [] } of limited) {
       for (const region of allowedRegions.filter((name) => !isRegionKnown(name))) {
-        const reason = 'no zone of the settings lies in this region: it allows nothing';
+        const reason = 'no zone in the settings is in this region, so the limit allows no worker';
         log.state('region-unknown', { limits, region, reason, version });
       }
     }
   }
 
-  /** Routes, ready to be matched; `undefined` before the first configuration. */
+  /** `undefined` before the first configuration. */
   get routes(): RouteMatcher | undefined {
     return this.matcher;
   }
@@ -78,40 +77,39 @@
     return this.matcher?.configuration.version;
   }
 
-  /** What callers may send; `undefined` before the first configuration. */
+  /** Limits on callers' requests; `undefined` before the first configuration. */
   get limits(): TrafficLimits | undefined {
     return this.matcher?.configuration.limits;
   }
 
-  /** All services. */
   get services(): readonly Service[] {
     return this.matcher?.configuration.services ?? [];
   }
 
-  /** Whether results of some route must come from one weight version each. */
+  /** Whether some route requires that each result comes from a single weight version. */
   get requiresSingleVersion(): boolean {
     return this.matcher?.configuration.routes.some((route) => route.singleVersion) ?? false;
   }
 
-  /** Finds the route of a request, or why there is none. */
+  /** The route of a request, or the failure `not_found` or `configuration_unavailable`. */
   route(host: string, path: string): Route | Failure {
     if (this.matcher === undefined) return NO_CONFIGURATION;
     return this.matcher.match(host, path) ?? failure('not_found', 'no route matches');
   }
 
-  /** The service that the next request of a route goes to. */
+  /** The service for the next request of a route. */
   nextService(route: Route): ServiceName | undefined {
     return this.matcher?.nextService(route);
   }
 
-  /** On whose behalf a request on a route comes, or why it is refused. */
+  /** The caller of a request on a route, or the failure with which the request is rejected. */
   identify(key: string | undefined, route: Route, requestId: string): CallerIdentity | Failure {
     if (this.matcher === undefined) return NO_CONFIGURATION;
     const caller = this.matcher.tenants.identify(key, route.isPublic);
     return this.noteIdentified(caller, requestId, route.name);
   }
 
-  /** On whose behalf a call about a job comes, which names no route, or why it is refused. */
+  /** The same for a call about a job, which matches no route. */
   identifyJobCaller(
     key: string | undefined,
     host: string,
@@ -123,7 +121,7 @@
     return this.noteIdentified(caller, requestId, 'jobs');
   }
 
-  /** A refusal names the key by its fingerprint only. */
+  /** Logs and counts failures; the detail has only the fingerprint of the key. */
   private noteIdentified(
     caller: CallerIdentity | Failure,
     request: string,
--- a/src/serving/answer-sink.ts
+++ b/src/serving/answer-sink.ts
@@ -1,41 +1,40 @@
-/** Where the answer to one caller's request goes; the ingress implements it. */
+/** The caller's side of one request, implemented by the ingress. */
 import type { Failure } from '../errors/error-kinds.js';
 import type { CallerIdentity } from '../tenants/tenant.js';
 import type { HeaderList } from './engine-port.js';
 
-/** The caller's side of one request. */
+/** Receives the answer to one request. */
 export interface AnswerSink {
-  /** Sends a whole answer of a worker. */
+  /** Sends a complete answer of a worker. */
   sendWhole(status: number, headers: HeaderList, body: Buffer): void;
-  /** Begins an answer whose body follows in pieces. */
+  /** Sends the head of an answer whose body follows in chunks. */
   begin(status: number, headers: HeaderList): void;
-  /** Sends a piece of the body; resolves once the caller can take more. */
+  /** Sends a chunk of the body; resolves once the connection accepts more. */
   write(chunk: Buffer): Promise<void>;
-  /** Ends the answer as complete. */
+  /** Completes the answer. */
   end(): void;
-  /** Breaks a begun answer off, so that it can't look complete. */
+  /** Aborts a started answer, so that the caller sees it as incomplete. */
   abort(): void;
-  /** Answers with a failure of our own. */
+  /** Answers with a failure of the gateway. */
   fail(failure: Failure): void;
 }
 
-/** One request of a caller, read whole. */
+/** One request of a caller, with its whole body. */
 export interface CallerRequest {
   readonly requestId: string;
   readonly method: string;
-  /** On whose behalf it comes. */
   readonly caller: CallerIdentity;
   /** Path and query. */
   readonly path: string;
   readonly host: string;
   readonly headers: HeaderList;
   readonly body: Buffer;
-  /** Time that the caller will wait from `receivedAt` on; `undefined` where it named none. */
+  /** Time that the caller waits, from `receivedAt`; `undefined` where it sent no limit. */
   readonly timeout: number | undefined;
-  /** Steady time at which the request began to arrive. */
+  /** Start of the request, by the steady clock. */
   readonly receivedAt: number;
-  /** The caller has the events up to this one. */
+  /** Id of the last event that the caller received earlier. */
   readonly lastEventId: number | undefined;
-  /** Aborted when the caller is gone. */
+  /** Aborted when the caller disconnects. */
   readonly disconnectSignal: AbortSignal;
 }
--- a/src/serving/attempt.ts
+++ b/src/serving/attempt.ts
@@ -1,34 +1,37 @@
-/** One attempt at a worker: what came of it, and what that says of the worker. */
+/** Outcomes of attempts at workers. */
 import type { Milliseconds } from '../core/units.js';
 import type { EngineAnswer, EngineOutcome } from './engine-port.js';
 import { readWhole } from './read-chunks.js';
 import type { KnownWorker } from './worker-registry.js';
 
-/** The lowest status by which a worker tells a failure of its own. */
+/** The lowest HTTP status of a worker's own failure. */
 export const SERVER_ERROR_STATUS = 500;
 
-/** One attempt that has come to an outcome. */
+/** A finished attempt. */
 export interface AttemptResult {
   readonly worker: KnownWorker;
   readonly outcome: EngineOutcome;
-  /** The body, where the answer came whole. */
+  /** The body; `undefined` where the answer was incomplete. */
   readonly body: Buffer | undefined;
 }
 
-/** A whole answer that is not a failure of the worker. */
+/** Whether an attempt has a complete answer that is not a failure of the worker. */
 export function isUsable(attempt: AttemptResult): boolean {
   if (attempt.outcome.kind !== 'answered' || attempt.body === undefined) return false;
   return attempt.outcome.status < SERVER_ERROR_STATUS;
 }
 
-/** Takes note of an attempt without an answer; one that was not sent says nothing of the worker. */
+/**
+ * Records an attempt without an answer; an attempt that was withheld does not count against the
+ * worker.
+ */
 export function noteFailure(worker: KnownWorker, outcome: EngineOutcome, now: Milliseconds): void {
   if (outcome.kind === 'not-run' && outcome.reason === 'withheld') return;
   const isFull = outcome.kind === 'not-run' && outcome.reason === 'full';
   worker.noteOutcome(isFull ? 'full' : 'failure', now);
 }
 
-/** Reads a body to its end; `undefined` where it broke off. */
+/** Reads a whole body; `undefined` where the connection broke. */
 export async function readAnswerBody(answer: EngineAnswer): Promise<Buffer | undefined> {
   const body = await readWhole(answer.body);
   if (body === undefined) answer.discard();
--- a/src/serving/clock.ts
+++ b/src/serving/clock.ts
@@ -1,23 +1,21 @@
-/** The clocks of a process, passed in so that tests can hold them. */
+/** Clocks of a process, injected so that tests can control time. */
 import { setTimeout as pause } from 'node:timers/promises';
 import type { Milliseconds } from '../core/units.js';
 import { SuspensionMeter } from './suspension-meter.js';
 
-/** Reads time. */
 export interface Clock {
   /**
-   * Steady time; never goes back and stands in no relation to the time of day. Stands still while the
-   * machine is suspended, so that a wait for others' sake is never cut short.
+   * Steady time; never goes back and is unrelated to the time of day. It stops while the machine is
+   * suspended, so that a wait for other nodes is never cut short.
    */
   now(): Milliseconds;
   /**
-   * Time since the start for which the machine may have been suspended, which {@link now} lacks. What
-   * is believed for a limited time ages by it.
+   * Total time since the start for which the machine may have been suspended, which {@link now}
+   * does not include. Leases and cached state age by it as well.
    */
   suspendedTime(): Milliseconds;
-  /** Time of day since 1970; close to true time, and may differ between machines. */
+  /** Unix time; may differ between machines. */
   wallTime(): Milliseconds;
-  /** Resolves after a time. */
   sleep(duration: Milliseconds): Promise<void>;
 }
 
@@ -33,7 +31,7 @@
   sleep: (duration) => pause(duration),
 };
 
-/** Time by which beliefs age: steady time, and time for which the machine may have been suspended. */
+/** Steady time including suspensions, by which leases and cached state age. */
 export function suspendAwareTime(clock: Pick<Clock, 'now' | 'suspendedTime'>): Milliseconds {
   return clock.now() + clock.suspendedTime();
 }
--- a/src/serving/crash-evidence.ts
+++ b/src/serving/crash-evidence.ts
@@ -1,8 +1,8 @@
 /**
- * Which workers ended while a request was there. One that ends each worker that runs it (a query of
- * death) comes again as its caller sees a failure, here or at another node; it is known by the
- * number of different workers that ended under it. Others that were at these workers gather
- * evidence too, and lose it with their first answer.
+ * Records which workers crashed while they ran a request. A crash-inducing request (a query of
+ * death) is retried by its caller, here or at another node, and is recognized by the number of
+ * different workers that crashed under it. Other requests on these workers gather evidence too,
+ * until their first answer clears it.
  */
 import type { Milliseconds } from '../core/units.js';
 import type { Clock } from './clock.js';
@@ -10,43 +10,40 @@
 import type { WorkerIncarnation } from './worker-incarnation.js';
 
 /**
- * Workers that may end under one request. One or two may be chance: a sixth of a service's workers
- * may crash at once, and a request that breaks is sent to the next.
+ * Crashes under one request at which it is quarantined. One or two may be coincidence, since a
+ * sixth of a service's workers may crash at once and a broken request is sent to the next worker.
  */
 export const MAX_CRASHED_WORKERS = 3;
 
 /**
- * Time for which the end of a worker speaks against a request. Callers came again for 13 s where this
- * was seen, one try each 2 s; a request that was refused without reason is served again after it.
+ * Time for which a crash counts against a request. It outlasts the retries of a caller; a request
+ * quarantined by coincidence is served again afterwards.
  */
 export const EVIDENCE_LIFETIME: Milliseconds = 600_000;
 
-/**
- * Requests of which evidence is kept; beyond it the oldest is dropped. With one
- * worker each they take 323 bytes (heap of 20,000), all of them 6.5 MB of the 200 MB that a gateway may use.
- */
+/** Requests with stored evidence, some 6.5 MB; beyond it the oldest is dropped. */
 const MAX_SUSPECTS = 20_000;
 
-/** The end of one life of a worker under one request. */
+/** The crash of one incarnation of a worker under one request. */
 export interface WorkerCrash {
   readonly worker: WorkerIncarnation;
-  /** Steady time. */
+  /** By the steady clock. */
   readonly at: Milliseconds;
 }
 
-/** Keeps the ends of workers by request. */
+/** Crashes of workers by request. */
 export class CrashEvidence {
-  /** By request, then by worker; the requests with the newest evidence last. */
+  /** By request, then by worker; requests with the newest evidence last. */
   private readonly crashes = new Map<RequestFingerprint, Map<string, Milliseconds>>();
 
   constructor(private readonly clock: Pick<Clock, 'now'>) {}
 
-  /** Whether nothing speaks against any request. */
+  /** Whether there is no evidence against any request. */
   get isEmpty(): boolean {
     return this.crashes.size === 0;
   }
 
-  /** A worker ended while the request was there; told again, that changes nothing. */
+  /** Records a crash under a request; the first record of a worker counts. */
   note(request: RequestFingerprint, { worker, at }: WorkerCrash): void {
     const crashes = this.of(request) ?? new Map<string, Milliseconds>();
     if (!crashes.has(worker)) crashes.set(worker, at);
@@ -55,19 +52,19 @@
     this.dropOldest();
   }
 
-  /** A worker did not end, or does not speak against the request any more. */
+  /** Removes the crash of one worker from a request's evidence. */
   withdraw(request: RequestFingerprint, worker: string): void {
     const crashes = this.crashes.get(request);
     crashes?.delete(worker);
     if (crashes?.size === 0) this.crashes.delete(request);
   }
 
-  /** Forgets all that speaks against a request. */
+  /** Removes all evidence against a request. */
   clear(request: RequestFingerprint): void {
     this.crashes.delete(request);
   }
 
-  /** The workers that ended under a request, in the order of their ends. */
+  /** The workers that crashed under a request, in the order in which they were recorded. */
   crashesUnder(request: RequestFingerprint): readonly WorkerCrash[] {
     const crashes = this.of(request);
     return crashes === undefined ? [] : [...crashes].map(([worker, at]) => ({ worker, at }));
--- a/src/serving/engine-port.ts
+++ b/src/serving/engine-port.ts
@@ -1,4 +1,4 @@
-/** The port to workers: requests, streams, orders and reports. An adapter implements it. */
+/** The port to workers: requests, streams, weight orders, reports and probes. */
 import type { Readable } from 'node:stream';
 import type { ModelName } from '../core/identity.js';
 import type { Milliseconds, WeightVersion } from '../core/units.js';
@@ -6,10 +6,10 @@
 import type { TenantName } from '../tenants/tenant.js';
 import type { HeldModel, WorkerRecord } from './traffic-configuration.js';
 
-/** Header names and values in turn, as they came: spelling and order are kept. */
+/** Alternating header names and values, with spelling and order unchanged. */
 export type HeaderList = readonly string[];
 
-/** One request on its way to a worker. */
+/** One request to a worker. */
 export interface EngineRequest {
   readonly worker: WorkerRecord;
   readonly requestId: string;
@@ -19,57 +19,57 @@
   readonly host: string;
   readonly headers: HeaderList;
   readonly body: Buffer;
-  /** Time that is left for the answer; `undefined` where the caller named none. */
+  /** Time left for the answer; `undefined` where the caller sent no limit. */
   readonly remaining: Milliseconds | undefined;
-  /** Rank of the request among those that wait at the worker, 0 the most urgent. */
+  /** Priority in the worker's queue, 0 the most urgent. */
   readonly priority?: number;
-  /** On whose behalf it runs; the worker is told it, and never the key that proved it. */
+  /** Name of the caller's tenant; sent to the worker, unlike the API key. */
   readonly tenant?: TenantName;
-  /** The answer goes on after this event. */
+  /** The stream resumes after this event. */
   readonly lastEventId?: number;
   /**
-   * Whether it goes over a connection of its own: those that are kept may all have gone silent, which
-   * shows only by answers that do not come.
+   * Whether to open a new connection: pooled keep-alive connections may all be dead, which shows
+   * only by missing answers.
    */
   readonly wantsNewConnection?: boolean;
   /** Regions whose workers may run it. @default any */
   readonly allowedRegions?: AllowedRegions;
 }
 
-/** What a worker tells of its load with an answer. */
+/** Load that a worker reports with an answer, in requests. */
 export interface ReportedLoad {
   readonly running: number;
   readonly waiting: number;
   readonly slots: number;
 }
 
-/** The head of a worker's answer; the body follows on `body`. */
+/** The head of a worker's answer; the body is read from `body`. */
 export interface EngineAnswer {
   readonly kind: 'answered';
   readonly status: number;
   readonly headers: HeaderList;
-  /** Ends cleanly only when the whole body came; emits `error` when it broke off. */
+  /** Emits `end` only after the whole body, else `error`. */
   readonly body: Readable;
-  /** Whether the answer is a series of events. */
+  /** Whether the answer is a stream of server-sent events. */
   readonly isStream: boolean;
-  /** Weights at the beginning of the answer, where the worker told them. */
+  /** Weight version at the start of the answer, where the worker reported it. */
   readonly weightVersion: WeightVersion | undefined;
   /** The worker's signature of its answer. */
   readonly signature: string | undefined;
   readonly load: ReportedLoad | undefined;
-  /** Ends the request and never uses its connection again. */
+  /** Cancels the request and closes its connection. */
   discard(): void;
 }
 
-/** The worker promised that it did not run the request. */
+/** The request certainly did not run. */
 export interface EngineRefusal {
   readonly kind: 'not-run';
-  /** `gone`: another worker lives at the address now; `withheld`: it was not sent. */
+  /** `gone`: another worker has the address now; `withheld`: the request was not sent. */
   readonly reason: 'full' | 'gone' | 'withheld';
   readonly load: ReportedLoad | undefined;
 }
 
-/** No usable answer came. */
+/** No usable answer. */
 export interface EngineFailure {
   readonly kind: 'failed';
   /** False only where the worker cannot have seen the request. */
@@ -80,7 +80,9 @@
 /** Outcome of sending one request. */
 export type EngineOutcome = EngineAnswer | EngineRefusal | EngineFailure;
 
-/** What becomes of runs at a worker whose weights change: they end first, are cut, or go on. */
+/**
+ * Handling of runs on a worker whose weights change: wait for them, cancel them, or let them go on.
+ */
 export type WeightOrderMode = 'wait' | 'cut' | 'keep';
 
 /** An order to change the weights of one model. */
@@ -91,7 +93,7 @@
   readonly mode: WeightOrderMode;
   readonly holder: string;
   readonly fencingToken: number;
-  /** Orders that the worker had taken when the order was decided. */
+  /** Orders that the worker had accepted when this order was decided. */
   readonly expectedSequence: number;
 }
 
@@ -103,41 +105,41 @@
   | 'fenced'
   | 'gone'
   | 'refused'
-  /** It may be carried out, now or later. */
+  /** The worker may carry it out, now or later. */
   | 'unknown';
 
 /** A worker's own report of its state. */
 export interface EngineReport {
-  /** Unix time in milliseconds of the start of this life; `undefined` where it is not told. */
+  /** Unix time in milliseconds of the worker's start; `undefined` where it does not report that. */
   readonly startedAt?: number | undefined;
   readonly models: readonly HeldModel[];
-  /** Whether an order is under way. */
+  /** Whether the worker carries out an order. */
   readonly busy: boolean;
-  /** Orders taken in this life. */
+  /** Orders accepted since the start. */
   readonly sequence: number;
   readonly waiting: number;
   readonly running: number;
 }
 
 /**
- * Whether a life of a worker goes on. `ended`: nobody listens at its address, or another life does;
- * `unknown`: it does not answer in time.
+ * Whether an incarnation of a worker is up. `ended`: nothing or another incarnation listens at its
+ * address; `unknown`: no answer in time.
  */
 export type WorkerLiveness = 'lives' | 'ended' | 'unknown';
 
-/** Workers as the product sees them. No method rejects. */
+/** Requests to workers. No method rejects. */
 export interface EnginePort {
-  /** Sends a request; aborting the signal ends it and closes its connection. */
+  /** Sends a request; aborting the signal cancels it and closes its connection. */
   send(request: EngineRequest, signal: AbortSignal): Promise<EngineOutcome>;
   order(order: WeightOrder): Promise<OrderOutcome>;
   report(worker: WorkerRecord): Promise<EngineReport | undefined>;
-  /** Asks over a new connection, by the path at which its service tells its health. */
+  /** Probes the health path of the worker's service over a new connection. */
   probeLiveness(worker: WorkerRecord, healthPath: string): Promise<WorkerLiveness>;
   /**
-   * Has a worker tell how much longer it stays cold, 0 where it is warm; `undefined` where it does not
-   * tell, or another life answers.
+   * How much longer the worker stays cold, 0 where it is warm; `undefined` where it does not report
+   * that or another incarnation answers.
    */
   probeColdTime(worker: WorkerRecord, healthPath: string): Promise<Milliseconds | undefined>;
-  /** Closes the connections to a worker that has left. */
+  /** Closes the connections to a removed worker. */
   forget(worker: string): void;
 }
--- a/src/serving/event-stream.ts
+++ b/src/serving/event-stream.ts
@@ -1,32 +1,31 @@
 /**
- * Reads a series of server-sent events from bytes that arrive in any pieces. Only whole events
- * come out; the rest of a broken stream is never passed on.
+ * Parses server-sent events from chunks of bytes; incomplete events are buffered and never
+ * returned.
  */
 import type { WeightVersion } from '../core/units.js';
 
-/** One whole event. */
+/** One complete event. */
 export interface StreamEvent {
-  /** Its number, where it bears one. */
+  /** Its number; `undefined` where it carries none. */
   readonly id: number | undefined;
   /** Its data lines, joined by line feeds. */
   readonly data: string;
-  /** Weights from this event on, where the event tells a change. */
+  /** Weight version from this event on; `undefined` where the event reports no change. */
   readonly weightVersion: WeightVersion | undefined;
-  /** The event as it came, with the blank line that ends it. */
+  /** The bytes of the event, with the blank line that ends it. */
   readonly raw: Buffer;
 }
 
 const LINE_FEED = 0x0a;
 const CARRIAGE_RETURN = 0x0d;
 
-/** Collects bytes and gives whole events. */
 export class EventStreamReader {
   private buffered: Buffer = Buffer.alloc(0);
 
-  /** `versionField` names the line by which an event tells a change of weights, in lower case. */
+  /** `versionField` is the field that reports a change of weights, in lower case. */
   constructor(private readonly versionField: string) {}
 
-  /** Takes further bytes; gives the events that are whole now. */
+  /** Appends bytes and returns the events that are now complete. */
   push(chunk: Buffer): StreamEvent[] {
     this.buffered = this.buffered.length === 0 ? chunk : Buffer.concat([this.buffered, chunk]);
     const events: StreamEvent[] = [];
@@ -44,7 +43,7 @@
     return events;
   }
 
-  /** Whether bytes of an event that is not whole are left. */
+  /** Whether bytes of an incomplete event are buffered. */
   hasPartialEvent(): boolean {
     return this.buffered.length > 0;
   }
@@ -67,7 +66,7 @@
   }
 }
 
-/** Index after the blank line that ends the event which begins at `start`; 0 where none does. */
+/** Index after the blank line that ends the event at `start`; 0 where the event is incomplete. */
 function endOfEvent(bytes: Buffer, start: number): number {
   let index = bytes.indexOf(LINE_FEED, start);
   while (index >= 0) {
--- a/src/serving/exchange-report.ts
+++ b/src/serving/exchange-report.ts
@@ -1,4 +1,4 @@
-/** Counts and logs how one caller's request ended. */
+/** Metrics and log lines about the outcome of one request. */
 import type { Milliseconds } from '../core/units.js';
 import type { Failure } from '../errors/error-kinds.js';
 import type { CallerRequest } from './answer-sink.js';
@@ -14,14 +14,13 @@
   readonly service: ServiceName;
 }
 
-/** How an answered request ended. */
+/** Outcome of an answered request; also the name of the log event and the metric's label. */
 export type AnsweredOutcome = 'request-answered' | 'stream-answered' | 'stream-broken-off';
 
-/** What is told of one request. */
 export class ExchangeReport {
   constructor(private readonly options: ExchangeReportOptions) {}
 
-  /** The caller was told why it gets no worker's answer. */
+  /** The gateway answered with a failure of its own. */
   noteFailed(reason: Failure, attempts: number): void {
     const { request, route, service, log } = this.options;
     this.recordMetrics(reason.kind);
@@ -36,7 +35,7 @@
     });
   }
 
-  /** The caller got a worker's answer, or a part of it. */
+  /** The caller received a worker's answer or a part of it. */
   noteAnswered(
     outcome: AnsweredOutcome,
     worker: KnownWorker,
--- a/src/serving/forwarded-exchange.ts
+++ b/src/serving/forwarded-exchange.ts
@@ -1,7 +1,7 @@
 /**
- * Forwards one caller's request to a worker of its route's service. A request that may be repeated
- * goes to another worker when one fails or is late, within the route's number of attempts; one
- * that may not be repeated goes to another only where the first promised that it did not run.
+ * Forwards one request to workers of its route's service. A repeatable request is retried and
+ * hedged at other workers, up to the route's number of attempts; any other is retried only if it
+ * certainly did not run or the route is resumable.
  */
 import type { Milliseconds } from '../core/units.js';
 import { type Failure, failure } from '../errors/error-kinds.js';
@@ -15,20 +15,19 @@
 import type { KnownWorker } from './worker-registry.js';
 import { WorkerSender } from './worker-sender.js';
 
-/** A repeatable request goes to a second worker after this share of its wanted latency. */
+/** Share of the route's target latency after which a repeatable request is hedged. */
 const HEDGE_SHARE = 0.6;
 const MIN_HEDGE_DELAY: Milliseconds = 50;
 
-/** When to come back after a refusal. */
+/** Retry hint for rejected callers. */
 const RETRY_AFTER: Milliseconds = 100;
 
-/** A stream that a worker has begun. */
 interface StartedStream {
   readonly worker: KnownWorker;
   readonly answer: EngineAnswer;
 }
 
-/** One request under way. */
+/** One forwarded request. */
 export class ForwardedExchange {
   private readonly sender: WorkerSender;
   private readonly report: ExchangeReport;
@@ -80,7 +79,7 @@
     return this.isAnswered || this.request.disconnectSignal.aborted || this.expiry.signal.aborted;
   }
 
-  /** Attempts side by side: the first whole answer wins, the others are cancelled. */
+  /** Runs attempts in parallel: the first usable answer wins, the others are cancelled. */
   private forwardRepeatable(): Promise<void> {
     const hedgeDelay = Math.max(MIN_HEDGE_DELAY, HEDGE_SHARE * this.route.targetLatency);
     return new Promise((resolve) => {
@@ -104,7 +103,7 @@
           finish();
           return;
         }
-        // A call that waits may hang on a kept connection that fell silent with all others.
+        // The pending attempt may hang on a dead pooled connection, and so would a hedge.
         const wantsNewConnection = pending > 0;
         pending += 1;
         hedge = setTimeout(startNext, hedgeDelay);
@@ -156,7 +155,7 @@
     this.noteAnswered('request-answered', result.worker, result.outcome.status);
   }
 
-  /** One attempt at a time; the next only after a promise that the last one did not run. */
+  /** Runs one attempt at a time; the next only after a worker that did not run the request. */
   private async forwardNonRepeatable(): Promise<void> {
     while (!this.isFinished) {
       const worker = this.sender.pick();
@@ -171,7 +170,7 @@
     }
   }
 
-  /** Passes an answer on as it comes; a resumable stream goes on at another worker. */
+  /** Relays an answer; a broken resumable stream is resumed at another worker. */
   private async relay(worker: KnownWorker, answer: EngineAnswer): Promise<void> {
     this.isAnswered = true;
     if (!answer.isStream) return this.relayWhole(worker, answer);
@@ -220,7 +219,7 @@
     return undefined;
   }
 
-  /** Passes a worker's own failure on where there is one; else says what is known. */
+  /** Answers with the worker's own failure if there is one, else with the gateway's. */
   private giveUp(last: AttemptResult | undefined): void {
     if (last?.outcome.kind === 'answered' && last.body !== undefined) {
       this.deliver(last);
--- a/src/serving/latency-estimate.ts
+++ b/src/serving/latency-estimate.ts
@@ -1,24 +1,22 @@
 /**
- * How long answers of one service take, as a moving mean and mean deviation. The expected limit is
- * the retransmission time-out of TCP (Jacobson and Karels 1988; RFC 6298): an answer that takes
- * longer is late by what was observed, whatever the service's usual time is.
+ * Estimates the latency of a service as a moving mean and mean deviation, like the retransmission
+ * timeout of TCP (Jacobson and Karels 1988; RFC 6298).
  */
 import type { Milliseconds } from '../core/units.js';
 
-/** Shares of a new sample in the mean and in the deviation, and deviations in the limit. */
+/** Weight of a new sample in the mean and in the deviation, and deviations above the mean. */
 const MEAN_GAIN = 1 / 8;
 const DEVIATION_GAIN = 1 / 4;
 const DEVIATIONS = 4;
 
-/** Estimates from the answers seen so far. */
 export class LatencyEstimate {
   private mean: Milliseconds | undefined;
   private deviation: Milliseconds = 0;
 
-  /** `initial` is the limit before the first answer. */
+  /** `initial` is the limit before the first sample. */
   constructor(private readonly initial: Milliseconds) {}
 
-  /** Takes in the time of one answer. */
+  /** Adds the latency of one answer. */
   note(sample: Milliseconds): void {
     if (this.mean === undefined) {
       this.mean = sample;
@@ -30,7 +28,7 @@
     this.mean += MEAN_GAIN * error;
   }
 
-  /** Time after which an answer is late; never more than `most`. */
+  /** Latency above which an answer is late, at most `maximum`. */
   limit(maximum: Milliseconds): Milliseconds {
     if (this.mean === undefined) return Math.min(this.initial, maximum);
     return Math.min(this.mean + DEVIATIONS * this.deviation, maximum);
--- a/src/serving/read-chunks.ts
+++ b/src/serving/read-chunks.ts
@@ -1,18 +1,20 @@
 /**
- * Reads streams by their events. Async iteration costs several promises and an abort signal for each
- * stream, a third of the processor time of a node that only answers its peers.
+ * Reads streams by their events, which is cheaper than async iteration with its promises and abort
+ * signal for each stream.
  */
 import type { Readable } from 'node:stream';
 
-/** How the reading of a stream ended. */
+/** How reading a stream ended. */
 export type StreamEnd =
   | 'ended'
-  /** The reader wanted no more. */
+  /** The reader stopped. */
   | 'stopped'
-  /** It failed, or closed before its end. */
+  /** The stream failed or closed before its end. */
   | 'broken';
 
-/** Hands each chunk on until the stream ends, breaks, or `take` returns false; never rejects. */
+/**
+ * Calls `onChunk` until the stream ends or breaks, or the callback returns false; never rejects.
+ */
 export function readChunks(
   stream: Readable,
   onChunk: (chunk: Buffer) => boolean,
@@ -33,7 +35,7 @@
   });
 }
 
-/** Reads a stream whole; `undefined` where it broke or has more than `limit` bytes. */
+/** Reads a whole stream; `undefined` where it broke or has more than `limit` bytes. */
 export async function readWhole(
   stream: Readable,
   limit = Number.POSITIVE_INFINITY,
--- a/src/serving/request-fingerprint.ts
+++ b/src/serving/request-fingerprint.ts
@@ -1,31 +1,31 @@
 /**
- * Recognizes a request that comes again. Callers give each try an id of its own and may send it to
- * any node, so two tries are the same request where all that a worker is asked is the same.
+ * Recognizes retries of a request. Callers give each try its own id and may send it to any node, so
+ * two tries are the same request if their content and tenant are the same.
  */
 import { createHash } from 'node:crypto';
 import type { TenantName } from '../tenants/tenant.js';
 
-/** Names what is asked and on whose behalf; the same at all nodes and for all tries. */
+/** Hash of a request's content and tenant; the same at all nodes and for all tries. */
 export type RequestFingerprint = string;
 
-/** What a worker is asked, and for whom. */
+/** What identifies a request. */
 export interface RequestContent {
   readonly method: string;
   readonly host: string;
   /** Path and query. */
   readonly path: string;
-  /** `undefined` where no key proved one. */
+  /** `undefined` for a caller without a tenant. */
   readonly tenant: TenantName | undefined;
   readonly body: Buffer;
 }
 
-/** Digits of a fingerprint in hexadecimal: 128 bits, so that no two requests share one by chance. */
+/** Hexadecimal digits of a fingerprint: 128 bits. */
 const FINGERPRINT_DIGITS = 32;
 
-/** Not in any of the parts, as HTTP allows it in none of them. */
+/** HTTP allows this character in none of the parts. */
 const SEPARATOR = '\u0000';
 
-/** The fingerprint of a request; costs a pass over its body. */
+/** Hashes a request, including its whole body. */
 export function requestFingerprint(content: RequestContent): RequestFingerprint {
   const { method, host, path, tenant = '', body } = content;
   const hash = createHash('sha256');
@@ -33,11 +33,11 @@
   return hash.digest('hex').slice(0, FINGERPRINT_DIGITS);
 }
 
-/** A request whose fingerprint is worked out when it is first needed, and once. */
+/** A request whose fingerprint is computed on first use. */
 export class FingerprintedRequest {
   private cached: RequestFingerprint | undefined;
 
-  /** `work` is called at most once. */
+  /** `content` is called at most once. */
   constructor(private readonly content: () => RequestContent) {}
 
   get fingerprint(): RequestFingerprint {
--- a/src/serving/request-forwarder.ts
+++ b/src/serving/request-forwarder.ts
@@ -1,14 +1,13 @@
-/** Forwards requests of callers to workers; see `forwarded-exchange.ts` for the rules. */
+/** Forwards requests of callers to workers; `forwarded-exchange.ts` has the rules. */
 import type { AnswerSink, CallerRequest } from './answer-sink.js';
 import { ForwardedExchange } from './forwarded-exchange.js';
 import type { RequestForwarderOptions } from './forwarding-options.js';
 import type { Route, ServiceName } from './traffic-configuration.js';
 
-/** Forwards requests. */
 export class RequestForwarder {
   constructor(private readonly options: RequestForwarderOptions) {}
 
-  /** Forwards one request and answers it; never rejects. */
+  /** Forwards one request and answers the caller; never rejects. */
   async forward(
     request: CallerRequest,
     route: Route,
--- a/src/serving/request-quarantine.ts
+++ b/src/serving/request-quarantine.ts
@@ -1,11 +1,8 @@
 /**
- * Keeps requests that end their workers away from workers. A connection that breaks with a request
- * on it is looked into: where the worker has ended, that speaks against the request, at all nodes.
- * Once {@link MAX_CRASHED_WORKERS} have ended under it, it is sent to none until the evidence is old.
- *
- * The caller of such a request sees a failure and comes again at any node. Counting by exchange, a
- * request that may go to two workers ended eleven within 13 s where its caller came six times; by
- * request and over the fleet it ends three.
+ * Quarantines crash-inducing requests. When a connection breaks under a request, the worker is
+ * probed; if it crashed, that is evidence against the request, shared with all nodes. A request
+ * under which {@link MAX_CRASHED_WORKERS} workers crashed is rejected until the evidence expires.
+ * Evidence counts by request content and over the fleet, since callers retry at any node.
  */
 import type { Milliseconds } from '../core/units.js';
 import { type Failure, failure } from '../errors/error-kinds.js';
@@ -24,54 +21,53 @@
 import { type WorkerIncarnation, workerIncarnationOf } from './worker-incarnation.js';
 
 /**
- * Time from the end of a worker until others are told what was there. Most of it is answered by
- * another worker meanwhile and need not be told: a lookup takes some 30 ms.
+ * Delay from a crash to its report to other nodes. Other workers answer most of the affected
+ * requests meanwhile, and these need no report.
  */
 const REPORT_DELAY: Milliseconds = 60;
 
-/** Time for which the end of a worker need not be looked into again. */
+/** Time for which the result of a probe that found no live worker is reused. */
 const LIVENESS_CACHE_TIME: Milliseconds = 1_000;
 
 /**
- * Time after which a worker is asked whether it has ended under a request that was given up there: a
- * lookup takes some 30 ms, and one that ends its worker does so while it runs.
+ * Delay from the cancellation of a request to the probe of its worker, in which the request may
+ * crash it.
  */
 const CANCELLED_PROBE_DELAY: Milliseconds = 200;
 
-/** Evidence from which on a request that only one node sends is told to the others. */
+/** Crashes at which a request that only this node sends is reported to the others. */
 const SUSPICIOUS_CRASHES = 2;
 
-/** What was at a worker when a life of it ended. */
+/** The requests on one incarnation of a worker when it crashed. */
 export interface CrashReport {
   readonly worker: WorkerIncarnation;
   readonly requests: readonly RequestFingerprint[];
 }
 
-/** Who may send a request next: its caller at any node, or the node that sends it now. */
+/** Who may retry a request: its caller, at any node, or only the current node. */
 export type NextSender = 'any-node' | 'this-node';
 
 /** Options of {@link RequestQuarantine}. */
 export interface RequestQuarantineOptions {
-  /** Asks a worker whose connection broke whether it still lives. */
+  /** Probes a worker whose connection broke. */
   readonly probeLiveness: (worker: WorkerRecord) => Promise<WorkerLiveness>;
-  /** Tells the other nodes what was at a worker that ended. */
+  /** Reports a crash to the other nodes. */
   readonly reportCrash: (report: CrashReport) => void;
-  /** Tells the other nodes that a worker answered a request that was reported. */
+  /** Reports to the other nodes that a worker answered a request reported before. */
   readonly reportAcquittal: (request: RequestFingerprint) => void;
   readonly clock: Clock;
   readonly log: DecisionLog;
   readonly metrics: FleetMetrics;
 }
 
-/** Decides whether a request may go to a worker. */
 export class RequestQuarantine {
   private readonly evidence: CrashEvidence;
   private readonly livenessProbes = new Map<WorkerIncarnation, Promise<WorkerLiveness>>();
-  /** Lives whose end under a request the other nodes have not been told. */
+  /** Crashes under a request that are not yet reported to the other nodes. */
   private readonly unreported = new Map<RequestFingerprint, Set<WorkerIncarnation>>();
-  /** Requests whose quarantine stands in the log. */
+  /** Requests whose quarantine is logged. */
   private readonly loggedQuarantines = new Set<RequestFingerprint>();
-  /** Requests that are looked at when the settling time is over. */
+  /** Requests to consider for a report when the delay is over. */
   private readonly pendingReports = new Map<RequestFingerprint, NextSender>();
   private reportTimer: NodeJS.Timeout | undefined;
 
@@ -80,15 +76,16 @@
   }
 
   /**
-   * Whether a request may go to one more worker while it is at some others. With evidence against
-   * it, those count as if they had ended: copies side by side end several workers at once.
+   * Whether a request may be sent to one more worker while `inFlight` attempts are pending. If
+   * there is evidence against it, these count as crashes, since parallel attempts crash several
+   * workers at once.
    */
   admits(request: FingerprintedRequest, inFlight = 0): boolean {
     const crashed = this.crashesUnder(request).length;
     return crashed === 0 || crashed + inFlight < MAX_CRASHED_WORKERS;
   }
 
-  /** Why a request is sent to no worker; `undefined` where it may be sent. */
+  /** The failure of a quarantined request; `undefined` where it may be sent. */
   refusalOf(request: FingerprintedRequest): Failure | undefined {
     const crashes = this.crashesUnder(request);
     if (crashes.length < MAX_CRASHED_WORKERS) return undefined;
@@ -99,14 +96,14 @@
     });
   }
 
-  /** The workers that ended under a request. */
+  /** The workers that crashed under a request. */
   crashesUnder(request: FingerprintedRequest): readonly WorkerCrash[] {
     return this.evidence.isEmpty ? [] : this.evidence.crashesUnder(request.fingerprint);
   }
 
   /**
-   * The connection to a worker broke while a request was there. That counts at once, as the request
-   * may come again before the worker was asked, and is taken back where the worker lives.
+   * Records that the connection to a worker broke under a request. It counts as a crash at once,
+   * since a retry may arrive before the probe ends, and is withdrawn if the worker is alive.
    */
   async noteBroken(
     worker: WorkerRecord,
@@ -131,9 +128,8 @@
   }
 
   /**
-   * A request under which workers ended was given up while it was at another: at its deadline, or as
-   * its caller left. Its connection is closed from here, so that nothing tells of that worker's end;
-   * it is asked. Where nothing speaks against the request, nobody is asked.
+   * Records that a request was cancelled at a worker. The gateway closes the connection itself and
+   * would not see a crash, so it probes the worker if there is evidence against the request.
    */
   noteCancelled(worker: WorkerRecord, request: FingerprintedRequest): void {
     if (this.crashesUnder(request).length === 0) return;
@@ -149,7 +145,7 @@
     if (liveness === 'ended' && isSuspect) await this.noteBroken(worker, request, 'any-node');
   }
 
-  /** A worker gave a whole answer: the request does not end workers. */
+  /** Clears the evidence against a request to which a worker gave a complete answer. */
   noteAnswered(request: FingerprintedRequest): void {
     const crashes = this.crashesUnder(request);
     if (crashes.length === 0) return;
@@ -161,7 +157,7 @@
     if (crashes.length > unreportedCount) this.options.reportAcquittal(fingerprint);
   }
 
-  /** Takes in what another node, or an earlier life of this one, was told by a broken connection. */
+  /** Applies the report of another node or of an earlier incarnation of this node. */
   applyReport(report: CrashReport, at: Milliseconds): void {
     for (const fingerprint of report.requests) {
       this.evidence.note(fingerprint, { worker: report.worker, at });
@@ -169,7 +165,7 @@
     }
   }
 
-  /** Another node took back that a request was at a worker when it ended, or an operator did. */
+  /** Withdraws a report, on behalf of another node or an operator. */
   withdraw({ worker, requests }: CrashReport): void {
     for (const fingerprint of requests) {
       this.evidence.withdraw(fingerprint, worker);
@@ -189,7 +185,7 @@
     this.options.metrics.count('quarantined_requests', {});
   }
 
-  /** One question for all requests that were at a worker. */
+  /** Probes a worker once for all requests that were on it. */
   private livenessOf(worker: WorkerRecord): Promise<WorkerLiveness> {
     const incarnation = workerIncarnationOf(worker);
     const known = this.livenessProbes.get(incarnation);
@@ -217,10 +213,7 @@
     return liveness;
   }
 
-  /**
-   * Tells the others now what is still unanswered of what was at workers that ended; a node that is
-   * about to stop takes it along otherwise.
-   */
+  /** Reports crashes under unanswered requests now, after the delay or before the node stops. */
   settle(): void {
     clearTimeout(this.reportTimer);
     this.reportTimer = undefined;
--- a/src/serving/route-matcher.ts
+++ b/src/serving/route-matcher.ts
@@ -1,4 +1,4 @@
-/** Finds the route of a request: same host, longest path prefix; and splits routes by weight. */
+/** Matches requests to routes by host and longest path prefix, and splits routes by weight. */
 import { type AllowedRegions, allowedByBoth } from '../placement/allowed-regions.js';
 import type { TenantName } from '../tenants/tenant.js';
 import { TenantDirectory } from '../tenants/tenant-directory.js';
@@ -9,7 +9,7 @@
   TrafficConfiguration,
 } from './traffic-configuration.js';
 
-/** Smooth weighted round robin, as in nginx: shares are exact over any run of picks. */
+/** Smooth weighted round robin, as in nginx: shares are exact over each cycle of picks. */
 class WeightedSplit {
   private readonly credits: number[];
   private readonly total: number;
@@ -32,13 +32,12 @@
   }
 }
 
-/** The routes of one configuration, ready to be matched. */
+/** The routes of one configuration, indexed by host. */
 export class RouteMatcher {
   private readonly byHost = new Map<string, Route[]>();
   private readonly splits = new Map<string, WeightedSplit>();
-  /** Who holds which API key. */
   readonly tenants: TenantDirectory;
-  /** Whether some route or tenant is limited to regions. */
+  /** Whether any route or tenant is limited to regions. */
   readonly limitsRegions: boolean;
 
   constructor(readonly configuration: TrafficConfiguration) {
@@ -56,29 +55,31 @@
     }
   }
 
-  /** The route with the longest prefix that begins the path; a port in `host` is ignored. */
+  /** The route with the longest matching path prefix; a port in `host` is ignored. */
   match(host: string, path: string): Route | undefined {
     return this.byHost.get(hostNameOf(host))?.find((route) => path.startsWith(route.pathPrefix));
   }
 
-  /** Whether a batch route of this host is open to callers without a key. */
+  /** Whether any batch route of this host is open to callers without a key. */
   hasPublicBatchRoute(host: string): boolean {
     const routes = this.byHost.get(hostNameOf(host)) ?? [];
     return routes.some((route) => route.kind === 'batch' && route.isPublic);
   }
 
-  /** The service that the next request of a route goes to, by the weights of its targets. */
+  /** The service for the next request of a route, by the weights of its targets. */
   nextService(route: Route): ServiceName | undefined {
     return this.splits.get(route.name)?.next();
   }
 
-  /** Where a tenant's requests on a route may be served and kept: both bind. */
+  /**
+   * Regions in which a tenant's requests on a route may be served and stored; both limits apply.
+   */
   allowedRegions(route: Route, tenant: TenantName | undefined): AllowedRegions {
     const owner = tenant === undefined ? undefined : this.tenants.named(tenant);
     return allowedByBoth(route.allowedRegions, owner?.allowedRegions);
   }
 
-  /** The route of this name, if the configuration still has it. */
+  /** The route of this name; `undefined` where the configuration no longer has it. */
   routeNamed(name: string): Route | undefined {
     return this.configuration.routes.find((route) => route.name === name);
   }
--- a/src/serving/sending-options.ts
+++ b/src/serving/sending-options.ts
@@ -1,4 +1,4 @@
-/** What work is sent to workers with, whoever's work it is. */
+/** Options shared by all components that send work to workers. */
 import type { ZoneName } from '../core/identity.js';
 import type { DecisionLog } from '../telemetry/decision-log.js';
 import type { FleetMetrics } from '../telemetry/fleet-metrics.js';
@@ -7,10 +7,9 @@
 import type { RequestQuarantine } from './request-quarantine.js';
 import type { WorkerRegistry } from './worker-registry.js';
 
-/** Options of everything that sends work to workers. */
 export interface SendingOptions {
   readonly engine: EnginePort;
-  /** Line by which an event tells a change of weights, in lower case. */
+  /** Event field that reports a change of weights, in lower case. */
   readonly versionField: string;
   readonly registry: WorkerRegistry;
   readonly quarantine: RequestQuarantine;
--- a/src/serving/start-gate.ts
+++ b/src/serving/start-gate.ts
@@ -1,53 +1,48 @@
 /**
- * Holds requests that come to a node which has just started and does not know its configuration or its
- * workers yet.
- *
- * The load: all machines of a fleet start again at the same moment. Their callers come to nodes that
- * learn both 0.05 to 0.8 s after their start (median 0.47 s, 69 nodes); one that is refused comes back
- * once, to another such node, and is refused again. A caller that waits a moment is served, late at
- * worst, and it was not going to be served anywhere sooner.
+ * Holds requests that reach a starting node before it has read its configuration and its workers.
+ * When a whole fleet restarts at once, a rejected caller would retry at another starting node and
+ * be rejected again.
  */
 import type { Milliseconds } from '../core/units.js';
 
-/** Time for which a request is held at most: the slowest of those starts, and a quarter more. */
+/** Upper limit for holding a request; nodes are normally ready within 0.8 s of their start. */
 export const MAX_START_WAIT: Milliseconds = 1_000;
 
-/** Share of a caller's patience that is spent here at most; the rest is for the work itself. */
+/** Upper limit as a share of the caller's timeout; the rest is left for the work. */
 export const START_WAIT_SHARE = 0.4;
 
-/** Patience of a caller that names none. */
+/** Timeout of a caller that sends none. */
 const DEFAULT_TIMEOUT: Milliseconds = 2_500;
 
 /**
- * Requests held at once: an assumed bound on memory, and on what comes to the workers all together. No
- * load that reaches it was seen.
+ * Requests held at once; limits memory and the burst that reaches the workers when the gate opens.
  */
 export const MAX_HELD_REQUESTS = 256;
 
-/** How long a request is held at most. */
+/** Longest time for which a request is held, by the caller's timeout. */
 export function startWaitOf(timeout: Milliseconds | undefined): Milliseconds {
   return Math.min(MAX_START_WAIT, START_WAIT_SHARE * (timeout ?? DEFAULT_TIMEOUT));
 }
 
-/** Opens once, when the node knows enough to serve. */
+/** Opens once, when the node has its configuration and its workers. */
 export class StartGate {
   private readonly held = new Set<() => void>();
   private isOpen = false;
 
-  /** Requests that wait. */
+  /** Number of held requests. */
   get waiting(): number {
     return this.held.size;
   }
 
-  /** The node can serve: all that waits goes on. */
+  /** Releases all held requests; later ones are not held. */
   open(): void {
     this.isOpen = true;
     for (const release of this.held) release();
   }
 
   /**
-   * Resolves when the node can serve, when the request has waited long enough, or when its caller has
-   * left; at once where it can serve already, or too many wait.
+   * Resolves when the gate opens, after {@link startWaitOf}, or when the caller disconnects; at
+   * once if the gate is open or {@link MAX_HELD_REQUESTS} are held.
    */
   wait(timeout: Milliseconds | undefined, disconnectSignal: AbortSignal): Promise<void> {
     if (this.isOpen || this.held.size >= MAX_HELD_REQUESTS || disconnectSignal.aborted)
--- a/src/serving/stream-relay.ts
+++ b/src/serving/stream-relay.ts
@@ -1,12 +1,8 @@
-/**
- * Passes the events of a stream on to a caller, whole event by whole event, also when the stream
- * goes on at another worker after a break.
- */
+/** Relays the complete events of a stream to a caller, across workers if the stream is resumed. */
 import type { AnswerSink } from './answer-sink.js';
 import type { EngineAnswer } from './engine-port.js';
 import { EventStreamReader, type StreamEvent } from './event-stream.js';
 
-/** The caller's side of one stream. */
 export class StreamRelay {
   private lastId: number | undefined;
 
@@ -18,12 +14,12 @@
     this.lastId = resumedAfter;
   }
 
-  /** Number of the last event that was passed on. */
+  /** Id of the last relayed event. */
   get lastEventId(): number | undefined {
     return this.lastId;
   }
 
-  /** Passes on what one worker sends; tells whether its stream came to its end. */
+  /** Relays the stream of one worker; returns whether it was complete and in order. */
   async follow(answer: EngineAnswer): Promise<boolean> {
     const reader = new EventStreamReader(this.versionField);
     try {
--- a/src/serving/suspension-meter.ts
+++ b/src/serving/suspension-meter.ts
@@ -1,22 +1,20 @@
 /**
- * Tells for how long the machine may have been suspended. The steady clock stands still then and the
- * time of day goes on, so that a lease looks as fresh as before.
+ * Measures for how long the machine may have been suspended. The steady clock stops meanwhile, so
+ * that a lease would look too fresh.
  *
- * Node has no call for the clock that counts on through a suspension. `os.uptime()` reads a file of
- * the system with hundredths of a second, and where a process has clocks of its own it tells the
- * host's (9.9 s while the process counted 39.0 s). A time of day that gets ahead of the steady
- * clock is what remains. It looks the same when the time of day is corrected; that is taken for a
- * suspension too, as it only makes what is believed look older.
+ * Node has no access to a clock that includes suspensions, and `os.uptime()` is coarse and reports
+ * the host's clock in a time namespace. So the meter takes every gain of the time of day on the
+ * steady clock for a suspension, also when the time of day is set forward: leases and cached state
+ * then only expire earlier.
  */
 import type { Milliseconds } from '../core/units.js';
 
 /**
- * Least lead that the time of day gains between two readings for it to count. It is read in whole
- * milliseconds and adjusted by at most 0.5 ms a second; a lease is believed for 1,000 ms and more.
+ * Smallest gain between two readings that counts, above rounding and clock slewing (0.5 ms a
+ * second) and well below the duration of a lease (1,000 ms and more).
  */
 const MIN_SUSPENSION: Milliseconds = 100;
 
-/** Compares two clocks at each reading. */
 export class SuspensionMeter {
   private lead: Milliseconds;
   private total: Milliseconds = 0;
@@ -28,7 +26,7 @@
     this.lead = timeOfDay() - steadyTime();
   }
 
-  /** All suspensions so far together; never goes down. */
+  /** Total of all suspensions so far; never decreases. */
   read(): Milliseconds {
     const lead = this.timeOfDay() - this.steadyTime();
     const gained = lead - this.lead;
--- a/src/serving/traffic-configuration.ts
+++ b/src/serving/traffic-configuration.ts
@@ -1,22 +1,21 @@
 /**
- * The operator's configuration of routed traffic: which route leads to which service, how long a
- * request may take, and what clients may send.
+ * The operator's configuration: routes, services, limits and tenants; and the records of workers.
  */
 import type { ModelName, ZoneName } from '../core/identity.js';
 import type { Milliseconds } from '../core/units.js';
 import type { AllowedRegions } from '../placement/allowed-regions.js';
 import type { Tenant } from '../tenants/tenant.js';
 
-/** Name of a pool of workers that serve the same thing. */
+/** Name of a pool of interchangeable workers. */
 export type ServiceName = string;
 
 /**
- * What may be repeated on a route. `read-only`: anything; `mutating`: nothing; `streaming`:
- * nothing unless the route is resumable; `batch`: items of submitted jobs.
+ * What may be retried on a route. `read-only`: any request; `mutating`: none; `streaming`: only if
+ * the route is resumable; `batch`: items of submitted jobs.
  */
 export type RouteKind = 'read-only' | 'mutating' | 'streaming' | 'batch';
 
-/** One destination of a route and its share of the requests. */
+/** One target of a route and its share of the requests. */
 export interface RouteTarget {
   readonly service: ServiceName;
   /** Relative to the weights of the route's other targets. */
@@ -30,9 +29,9 @@
   /** Begins and ends with a slash. */
   readonly pathPrefix: string;
   readonly kind: RouteKind;
-  /** Longest that a request may be held. */
+  /** Longest time for a request, from its arrival. */
   readonly timeout: Milliseconds;
-  /** Time within which an answer is wanted. */
+  /** Desired time to the answer. */
   readonly targetLatency: Milliseconds;
   /** 0 is the most urgent. */
   readonly priority: number;
@@ -41,15 +40,15 @@
   readonly targets: readonly RouteTarget[];
   /** Whether callers need no API key on it. */
   readonly isPublic: boolean;
-  /** Whether a stream may be taken up at another worker. */
+  /** Whether a broken stream may be resumed at another worker. */
   readonly resumable: boolean;
   /** Whether all events of one result must come from one weight version. */
   readonly singleVersion: boolean;
-  /** After this time since its submission an item of a job may be given up. */
+  /** Time since submission after which an item of a job may be abandoned. */
   readonly maxQueue: Milliseconds;
-  /** Results of a job are due this long after its submission. */
+  /** Time since submission within which the results of a job are due. */
   readonly resultDeadline: Milliseconds;
-  /** Where its requests may be served and kept. @default anywhere */
+  /** Regions in which its requests may be served and stored. @default any */
   readonly allowedRegions?: AllowedRegions;
 }
 
@@ -57,35 +56,35 @@
 export interface Service {
   readonly name: ServiceName;
   readonly healthPath: string;
-  /** Connections that one worker takes from all callers together. */
+  /** Connections that one worker accepts from all gateways together. */
   readonly maxConnections: number;
-  /** Models that its workers hold; empty where they hold none. */
+  /** Models that its workers load; may be empty. */
   readonly models: readonly ModelName[];
-  /** `undefined` where the number of its workers is not ours to choose. */
+  /** `undefined` where the fleet does not scale the service. */
   readonly scaling: ScalingLimits | undefined;
-  /** What its workers bear after a start. @default as much as at any time */
+  /** Limits for its workers after a start. @default none */
   readonly coldStart?: ColdStart | undefined;
 }
 
-/** A worker is cold after it has started, and at times later: it bears few requests until it is warm. */
+/** Limits for a cold worker, which after a start and at times later tolerates few requests. */
 export interface ColdStart {
-  /** Time from a start until the worker is warm. */
+  /** Time from the start until the worker is warm. */
   readonly duration: Milliseconds;
-  /** Requests a second that a cold worker bears, from all callers together. */
+  /** Requests per second that a cold worker tolerates, from all gateways together. */
   readonly requestsPerSecond: number;
 }
 
-/** Within which limits the number of a service's workers may be chosen, in each zone by itself. */
+/** Limits for the number of a service's workers in each zone. */
 export interface ScalingLimits {
   readonly minimum: number;
   readonly maximum: number;
-  /** Time from an order until a new worker serves. */
+  /** Time from an order until the new worker serves. */
   readonly bootTime: Milliseconds;
-  /** Price of a second of a worker in each zone, against one another. */
+  /** Relative price of a second of a worker, by zone. */
   readonly zonePrices: ReadonlyMap<ZoneName, number>;
 }
 
-/** What clients may send. */
+/** Limits for callers' requests. */
 export interface TrafficLimits {
   readonly maxHeaderBytes: number;
   readonly maxBodyBytes: number;
@@ -93,9 +92,9 @@
   readonly idleTimeout: Milliseconds;
 }
 
-/** One version of the configuration, whole. */
+/** One complete version of the configuration. */
 export interface TrafficConfiguration {
-  /** Only ever rises. */
+  /** Increases with each change. */
   readonly version: number;
   readonly routes: readonly Route[];
   readonly services: readonly Service[];
@@ -104,27 +103,30 @@
   readonly tenants: readonly Tenant[] | undefined;
 }
 
-/** One model that a worker holds, and at which weights. */
+/** A model loaded by a worker, and the version of its weights. */
 export interface HeldModel {
   readonly name: ModelName;
   readonly version: number;
 }
 
-/** One life of a worker, as it registered itself. */
+/** The record with which an incarnation of a worker registers. */
 export interface WorkerRecord {
-  /** Names the worker; one that starts again may keep it. */
+  /** Id of the worker; may stay the same after a restart. */
   readonly id: string;
-  /** Unix time in milliseconds of the start of this life; `undefined` where it is not told. */
+  /** Unix time in milliseconds of the start of this incarnation; `undefined` where not reported. */
   readonly startedAt?: number | undefined;
   readonly service: ServiceName;
   /** IP and port. */
   readonly address: string;
   readonly zone: ZoneName;
-  /** Requests it works on at once. */
+  /** Requests that it runs at a time. */
   readonly slots: number;
-  /** Whether it is about to leave and wants no new work. */
+  /** Whether it is about to stop and accepts no new work. */
   readonly draining: boolean;
   readonly models: readonly HeldModel[];
-  /** Time for which it stays cold, as of the writing of this record; `undefined` where it is not told. */
+  /**
+   * How much longer it stays cold, as of the writing of this record; `undefined` where not
+   * reported.
+   */
   readonly coldFor?: Milliseconds | undefined;
 }
--- a/src/serving/worker-incarnation.ts
+++ b/src/serving/worker-incarnation.ts
@@ -1,21 +1,20 @@
 /**
- * Lives of workers. A worker may start again under the id that it had; it then holds and knows
- * nothing of before. A life is told apart by the id and, where the worker tells it, its start.
+ * Incarnations of workers. A worker that restarts under the same id has lost its state;
+ * incarnations are distinguished by the id and, where the worker reports it, the start time.
  */
 import type { WorkerRecord } from './traffic-configuration.js';
 
-/** Names one life of a worker; differs from every other life, also under the same id. */
+/** Id of one incarnation of a worker, unique also among restarts under the same worker id. */
 export type WorkerIncarnation = string;
 
-/** What tells lives apart. */
 type IncarnationFields = Pick<WorkerRecord, 'id' | 'startedAt'>;
 
-/** The life that a record tells of; just the id where the worker does not tell its start. */
+/** The incarnation of a record, `id@startedAt`; just the id where the start is not reported. */
 export function workerIncarnationOf({ id, startedAt }: IncarnationFields): WorkerIncarnation {
   return startedAt === undefined ? id : `${id}@${startedAt}`;
 }
 
-/** Whether a record tells of a later life than another record under the same id. */
+/** Whether a record is of a later incarnation than another record with the same id. */
 export function isLaterIncarnation(record: IncarnationFields, than: IncarnationFields): boolean {
   if (record.startedAt === undefined || than.startedAt === undefined) return false;
   return record.startedAt > than.startedAt;
--- a/src/serving/worker-registry.ts
+++ b/src/serving/worker-registry.ts
@@ -1,6 +1,6 @@
 /**
- * The workers that a node knows: their records, what is under way on each from here, what they
- * told of their load, and how their last requests ended.
+ * The workers known to a node: their records, this node's requests in flight, their reported load,
+ * and the outcomes of recent requests.
  */
 import type { ModelName, ZoneName } from '../core/identity.js';
 import type { Milliseconds, WeightVersion } from '../core/units.js';
@@ -12,53 +12,51 @@
 import type { ServiceName, WorkerRecord } from './traffic-configuration.js';
 import { isLaterIncarnation } from './worker-incarnation.js';
 
-/** How one request at a worker ended, for the choice of later ones. */
+/** Outcome of one request at a worker, used to rank the worker for later ones. */
 export type WorkerOutcome = 'success' | 'failure' | 'full' | 'stalled';
 
-/** Time that a worker is passed over after failures in a row: base, doubled up to the limit. */
+/** Penalty after a failure, doubled with each consecutive one up to the maximum. */
 const FAILURE_PENALTY: Milliseconds = 400;
 const MAX_FAILURE_PENALTY: Milliseconds = 3_200;
 
 /**
- * Time that a worker is passed over after it said that it was full, doubled with each refusal in a row
- * up to the limit: one that loads weights refuses everything for most of a second, and looks empty.
+ * Penalty after a rejection as full, doubled with each consecutive one up to the maximum. A worker
+ * that loads weights rejects everything for most of a second while its load looks low.
  */
 const FULL_PENALTY: Milliseconds = 100;
 const MAX_FULL_PENALTY: Milliseconds = 800;
 
-/** Time that a worker is passed over after its streams paused. */
+/** Penalty after a stream stalled. */
 const STALL_PENALTY: Milliseconds = 600;
 
-/** Age beyond which a reported load no longer counts. */
+/** Age at which a reported load expires. */
 const LOAD_LIFETIME: Milliseconds = 2_000;
 
-/**
- * Share of a new sample in the moving mean of the time for one event. A worker that streams some
- * answers gives hundreds of samples a second.
- */
+/** Weight of a new sample in the mean event interval; there may be hundreds of samples a second. */
 const EVENT_INTERVAL_SMOOTHING = 0.03;
 
-/** A single pause counts as this many times the mean at most: it need not mean a slow worker. */
+/**
+ * Limit of a sample as a multiple of the mean, since a single pause does not mean a slow worker.
+ */
 const MAX_EVENT_INTERVAL_RATIO = 2;
 
-/** One known worker. */
 export class KnownWorker {
-  /** Requests under way from this node. */
+  /** This node's requests in flight. */
   inFlight = 0;
-  /** Moving mean of the time between two events, or `undefined` before the first. */
+  /** Moving mean of the time between two stream events; `undefined` before the first sample. */
   eventInterval: Milliseconds | undefined;
   private penalizedUntil: Milliseconds = 0;
   private consecutiveFailures = 0;
   private consecutiveRejections = 0;
   private readonly reportedVersions = new Map<ModelName, WeightVersion>();
-  /** Models whose weights it loads, by the time until which that is believed. */
+  /** Models whose weights the worker loads, and the time at which that information expires. */
   private readonly loadingUntil = new Map<ModelName, Milliseconds>();
   private load: ReportedLoad | undefined;
   private loadAt: Milliseconds = 0;
 
   constructor(public record: WorkerRecord) {}
 
-  /** Takes note of how a request ended. */
+  /** Records the outcome of a request. */
   noteOutcome(outcome: WorkerOutcome, now: Milliseconds): void {
     if (outcome === 'success') {
       this.consecutiveFailures = 0;
@@ -79,7 +77,7 @@
     this.penalizedUntil = now + penalty;
   }
 
-  /** Requests that were sent together are refused together: that counts once. */
+  /** Rejections of requests sent together count once. */
   private noteRejection(now: Milliseconds): void {
     if (this.isPenalized(now)) return;
     const penalty = Math.min(FULL_PENALTY * 2 ** this.consecutiveRejections, MAX_FULL_PENALTY);
@@ -87,14 +85,14 @@
     this.penalizedUntil = now + penalty;
   }
 
-  /** Takes note of the load that the worker told. */
+  /** Records the load that the worker reported, if any. */
   noteLoad(load: ReportedLoad | undefined, now: Milliseconds): void {
     if (load === undefined) return;
     this.load = load;
     this.loadAt = now;
   }
 
-  /** Takes note of the time between two events of a stream. */
+  /** Records the time between two events of a stream. */
   noteEventInterval(sample: Milliseconds): void {
     if (this.eventInterval === undefined) {
       this.eventInterval = sample;
@@ -104,67 +102,65 @@
     this.eventInterval += EVENT_INTERVAL_SMOOTHING * (bounded - this.eventInterval);
   }
 
-  /** Whether failures or fullness speak against the worker now. */
+  /** Whether recent failures, rejections or stalls make the worker a last choice. */
   isPenalized(now: Milliseconds): boolean {
     return now < this.penalizedUntil;
   }
 
-  /** Whether one more request from here may go there now. */
+  /** Whether the worker may be sent one more request of this node. */
   hasFreeSlot(now: Milliseconds): boolean {
     if (this.record.draining || this.isPenalized(now)) return false;
     return this.inFlight < this.record.slots;
   }
 
-  /** Requests at the worker, as far as this node can tell. */
+  /** Requests at the worker, by the reported load or this node's own, whichever is higher. */
   occupancy(now: Milliseconds): number {
     if (this.load === undefined || now - this.loadAt > LOAD_LIFETIME) return this.inFlight;
     return Math.max(this.inFlight, this.load.running + this.load.waiting);
   }
 
-  /** It loads weights of a model, and refuses requests for it that it has not begun. */
+  /** Records that the worker loads weights of a model and rejects new requests for it. */
   noteLoading(model: ModelName, until: Milliseconds): void {
     this.loadingUntil.set(model, until);
   }
 
-  /** Whether it loads weights of a model now. */
+  /** Whether the worker loads weights of a model. */
   isLoading(model: ModelName, now: Milliseconds): boolean {
     return now < (this.loadingUntil.get(model) ?? 0);
   }
 
-  /** Version of a model that it holds; 0 where it does not hold the model. */
+  /** Loaded version of a model; 0 where it is not loaded. */
   versionOf(model: ModelName): WeightVersion {
     const registered = this.record.models.find((held) => held.name === model)?.version ?? 0;
     return Math.max(registered, this.reportedVersions.get(model) ?? 0);
   }
 
-  /** Takes note of a version that the worker itself showed; its record may lag behind. */
+  /** Records a version that the worker reported itself; its record may lag behind. */
   noteVersion(model: ModelName, version: WeightVersion): void {
     this.loadingUntil.delete(model);
     if (version > this.versionOf(model)) this.reportedVersions.set(model, version);
   }
 }
 
-/** What a record changed: a worker is new, known, in a later life, or told of in an earlier one. */
+/**
+ * Effect of a record: new worker, same or later incarnation, or a stale record of an earlier one.
+ */
 export type WorkerChange = 'added' | 'updated' | 'restarted' | 'outdated';
 
-/** All known workers. */
 export class WorkerRegistry {
   private readonly workers = new Map<string, KnownWorker>();
   private readonly services = new Map<ServiceName, Set<KnownWorker>>();
 
-  /**
-   * `rules` tell which workers may be sent work; without them all may. `distanceBetween` tells how
-   * far zones are from each other.
-   */
+  /** Without `rules` every worker may be sent work. */
   constructor(
     readonly rules: SendRules = new SendRules(),
     private readonly distanceBetween: DistanceBetween = distanceInOneRegion,
   ) {}
 
   /**
-   * Adds a worker or replaces its record. What is known of an earlier life under the same id
-   * (versions, pace, load, penalties) says nothing of a later one, which begins as a new worker; a
-   * record of an earlier life that comes late is passed over.
+   * Adds a worker or replaces its record. A later incarnation starts as a new worker, without the
+   * versions, event interval, load and penalties of the earlier one; a late record of an earlier
+   * incarnation is ignored.
    */
   put(record: WorkerRecord): WorkerChange {
     const known = this.workers.get(record.id);
@@ -187,7 +183,6 @@
     else others.add(worker);
   }
 
-  /** Forgets a worker that has left. */
   remove(id: string): void {
     const worker = this.workers.get(id);
     if (worker === undefined) return;
@@ -195,27 +190,26 @@
     this.services.get(worker.record.service)?.delete(worker);
   }
 
-  /** The worker of this id, if it is still known. */
   get(id: string): KnownWorker | undefined {
     return this.workers.get(id);
   }
 
-  /** All workers of a service, also those that are leaving. */
+  /** All workers of a service, including draining ones. */
   ofService(service: ServiceName): KnownWorker[] {
     return [...(this.services.get(service) ?? [])];
   }
 
-  /** Workers of a service that take new work. */
+  /** Workers of a service that accept new work. */
   available(service: ServiceName): KnownWorker[] {
     return this.ofService(service).filter((worker) => !worker.record.draining);
   }
 
-  /** Workers of a service that may be sent work of these regions now. */
+  /** Workers of a service to which the rules allow sending work of these regions. */
   eligible(service: ServiceName, allowed: AllowedRegions): KnownWorker[] {
     return this.available(service).filter(({ record }) => this.rules.mayReceive(record, allowed));
   }
 
-  /** Whether a service has workers and none of them stands where work of these regions may go. */
+  /** Whether a service has workers, but none in the allowed regions. */
   areAllOutsideRegions(service: ServiceName, allowed: AllowedRegions): boolean {
     if (allowed === undefined) return false;
     const workers = this.available(service);
@@ -224,14 +218,13 @@
     return workers.length > 0 && workers.every(isOutside);
   }
 
-  /** All workers. */
   all(): KnownWorker[] {
     return [...this.workers.values()];
   }
 
   /**
-   * The worker for an interactive request from a zone: one that may be sent it, not tried before, not
-   * penalized if possible, then with the most free room, of which the way there takes some.
+   * The worker for an interactive request from a zone: eligible, not tried before, not penalized if
+   * possible, and with the lowest sum of occupancy and distance cost.
    */
   pick(
     service: ServiceName,
@@ -243,7 +236,7 @@
     return this.lowestRanked(this.eligible(service, allowed), tried, zone, now);
   }
 
-  /** The same among the workers of other regions, for work that has to find room and has none in its own. */
+  /** {@link pick} among workers of other regions, for work that found no free slot in its own. */
   pickInOtherRegion(
     service: ServiceName,
     tried: Pick<ReadonlySet<string>, 'has'>,
--- a/src/serving/worker-sender.ts
+++ b/src/serving/worker-sender.ts
@@ -1,6 +1,6 @@
 /**
- * Sends one caller's request to workers: picks them, counts attempts, and keeps in mind whether any
- * of them may have run it.
+ * Sends one caller's request to workers: picks them, counts attempts, and records whether any of
+ * them may have run it.
  */
 import type { Milliseconds } from '../core/units.js';
 import { type Failure, failure } from '../errors/error-kinds.js';
@@ -14,9 +14,9 @@
 import type { Route, ServiceName } from './traffic-configuration.js';
 import type { KnownWorker } from './worker-registry.js';
 
-/** How a request goes to one worker. */
+/** Options of one attempt. */
 export interface SendOptions {
-  /** The answer goes on after this event. */
+  /** The stream resumes after this event. */
   readonly lastEventId?: number | undefined;
   readonly wantsNewConnection?: boolean;
 }
@@ -26,21 +26,20 @@
   readonly request: CallerRequest;
   readonly route: Route;
   readonly service: ServiceName;
-  /** Time that is left for the answer. */
+  /** Time left for the answer. */
   readonly remaining: () => Milliseconds;
 }
 
 /** The attempts of one request. */
 export class WorkerSender {
-  /** Workers that it was sent to, and when. */
+  /** Send time by worker id. */
   private readonly tried = new Map<string, Milliseconds>();
   private readonly aborts = new Set<AbortController>();
   private hasBegun = false;
   private inFlight = 0;
   private readonly fingerprinted: FingerprintedRequest;
-  /** Workers that it was sent to. */
   attempts = 0;
-  /** Whether a worker may have run it. */
+  /** Whether any worker may have run the request. */
   mayHaveRun = false;
 
   constructor(private readonly options: WorkerSenderOptions) {
@@ -49,7 +48,7 @@
     this.fingerprinted = new FingerprintedRequest(() => ({ ...request, tenant }));
   }
 
-  /** Where it may be served now: a configuration that has come since binds each further attempt. */
+  /** Allowed regions by the active configuration, which may have changed since the last attempt. */
   private get allowedRegions(): AllowedRegions {
     const { request, route, routes } = this.options;
     const { caller, host, path } = request;
@@ -60,12 +59,12 @@
     return allowedByBoth(allowedRegions, owner?.allowedRegions);
   }
 
-  /** Why no worker may be sent the request, whatever its route allows; `undefined` where one may. */
+  /** The failure to answer with before any attempt; `undefined` where the request may be sent. */
   refusal(): Failure | undefined {
     return this.options.quarantine.refusalOf(this.fingerprinted) ?? this.refusalByRegion();
   }
 
-  /** Waiting does not bring a worker to the regions in which the request may be served. */
+  /** Fails at once, since waiting would not bring a worker to the allowed regions. */
   private refusalByRegion(): Failure | undefined {
     const { registry, service } = this.options;
     if (!registry.areAllOutsideRegions(service, this.allowedRegions)) return undefined;
@@ -74,8 +73,8 @@
   }
 
   /**
-   * The worker for the next attempt; `undefined` where there is none, the route allows no more, or
-   * workers ended under the request.
+   * The worker for the next attempt; `undefined` where no worker is eligible, the route allows no
+   * further attempt, or the request is quarantined.
    */
   pick(): KnownWorker | undefined {
     const { route, registry, service, zone, clock, quarantine } = this.options;
@@ -132,9 +131,9 @@
   }
 
   /**
-   * The connection to a worker broke while the request was there. With the fingerprint, lines of
-   * several nodes and tries can be told to be about one request; the others that were at the worker
-   * or under way elsewhere tell whether it was alone, and whether it was sent to two workers at once.
+   * Logs that the connection to a worker broke and starts the check for a crash. The fingerprint
+   * relates log lines of several nodes and tries to one request; `othersThere` counts other
+   * requests at the worker, `elsewhere` other attempts of this request.
    */
   noteConnectionBroken(worker: KnownWorker): void {
     const { request, route, log, clock, quarantine } = this.options;
@@ -152,21 +151,22 @@
   }
 
   /**
-   * A worker gave the whole answer. One that tells a failure, as at the deadline, says little: the
-   * request may have been cut short before it could end the worker.
+   * Clears evidence against the request after a complete answer. A failure status does not clear
+   * it: the worker may have stopped the request, at its deadline for example, before it could
+   * crash.
    */
   noteAnswered(status: number): void {
     if (status < SERVER_ERROR_STATUS) this.options.quarantine.noteAnswered(this.fingerprinted);
   }
 
-  /** Ends all attempts. */
+  /** Cancels all attempts. */
   cancelAll(): void {
     for (const abort of this.aborts) abort.abort();
   }
 
   /**
-   * Counts the request once, when its first run began: with the first event of a stream, else when
-   * it was sent, as workers begin such requests as they come.
+   * Reports the start of the request once: at the first event of a stream, else at the time of
+   * sending, since workers start such requests on arrival.
    */
   private noteBegun(
     outcome: EngineOutcome,
