--- a/test/placement/cold-fleet.ts
+++ b/test/placement/cold-fleet.ts
@@ -1,4 +1,4 @@
-/** Gateways that share one granter of permits for cold workers, in time that a test holds. */
+/** Gateways with permit rules and granters for cold workers, on manual clocks. */
 import type { Milliseconds, Revision } from '../../src/core/units.js';
 import type { PermitAnswer } from '../../src/placement/cold-permits.js';
 import type { ColdTolerance } from '../../src/placement/cold-tolerance.js';
@@ -14,19 +14,19 @@
 export const COLD_START: ColdStart = { duration: 3_000, requestsPerSecond: 9 };
 export const TOLERANCE: ColdTolerance = { factor: 1.5, requests: 5 };
 
-/** Requests that may go to one cold worker within a second. */
+/** Maximum requests to one cold worker within a second. */
 export const HARD_BOUND = 18;
 
-/** Time for which a granter may take its token for valid after it lost it. */
+/** Time for which a granter may still treat a lost token as valid. */
 export const TOKEN_VALIDITY: Milliseconds = 1_000;
 
-/** One gateway: what it knows of workers, its permits, and its right to grant. */
+/** One gateway with its view of the workers, its permits and its own granter. */
 export class ColdGateway {
   readonly clock = new ManualClock();
   readonly warmth = new WorkerWarmth(this.clock);
   readonly metrics = new FleetMetrics();
   readonly probed: string[] = [];
-  /** The fencing token that it takes for valid. */
+  /** The fencing token that the gateway treats as valid. */
   token: Revision | undefined;
   needsPermits = false;
   readonly granter: PermitGranter;
@@ -45,19 +45,19 @@
       workerOf: (id) => workers.get(id),
       probe: ({ id }) => this.probed.push(id),
     });
-    const wanted = (): void => {
+    const onPermitsNeeded = (): void => {
       this.needsPermits = true;
     };
-    this.rule = new ColdWorkerRule({ ...shared, onPermitsNeeded: wanted });
+    this.rule = new ColdWorkerRule({ ...shared, onPermitsNeeded });
     this.rules = new SendRules([this.rule]);
   }
 
-  /** Takes in the answer to a question that was sent at `sentAt`. */
+  /** Applies the answer to a request sent at `sentAt`. */
   applyAnswer(answer: PermitAnswer, sentAt: Milliseconds): boolean {
     return this.rule.applyAnswer(answer, sentAt, (id) => this.workers.get(id));
   }
 
-  /** Asks a granter that answers at once. */
+  /** Requests permits from a granter that answers at once. */
   requestPermits(granter: ColdGateway): PermitAnswer {
     const sentAt = suspendAwareTime(this.clock);
     this.needsPermits = false;
@@ -66,7 +66,7 @@
     return answer;
   }
 
-  /** Sends requests to a worker as long as the rules let them go, up to a number; tells how many went. */
+  /** Sends up to `limit` requests while the rules admit them; returns how many were sent. */
   send(worker: WorkerRecord, limit: number): number {
     let sent = 0;
     while (sent < limit && this.rules.admit(worker, undefined) === undefined) sent += 1;
--- a/test/placement/cold-workers.test.ts
+++ b/test/placement/cold-workers.test.ts
@@ -1,6 +1,6 @@
 /**
- * Permits for cold workers between gateways that ask and one that grants, in time that a test holds: late
- * and lost answers, suspensions, a change of the granter, a start, the return of a zone.
+ * Permits for cold workers: cold workers receive too many requests after late and lost answers,
+ * suspensions, a change of the granter, a start of a gateway or the return of a zone.
  */
 import t from 'tap';
 import { NOT_GRANTER } from '../../src/placement/cold-permits.js';
@@ -11,10 +11,10 @@
 
 const COLD = worker('w1', { coldFor: 3_000 });
 
-/** Time after which a granter that just got the token may grant. */
-const TAKE_OVER = TOKEN_VALIDITY + MAX_GRANT_TO_SEND_DELAY + 1_000;
+/** Time after which a new granter may grant. */
+const GRANTER_WAIT = TOKEN_VALIDITY + MAX_GRANT_TO_SEND_DELAY + 1_000;
 
-/** Gateways that have just seen a cold worker start; the first one has granted for long. */
+/** Gateways that have just seen a cold worker start; the first is the granter, past its wait. */
 function fleet(count: number, record: WorkerRecord = COLD): ColdGateway[] {
   const workers = new Map([[record.id, record]]);
   const gateways = Array.from({ length: count }, () => new ColdGateway(workers));
@@ -24,13 +24,13 @@
   granter.granter.observe();
   for (const { clock, warmth } of gateways) {
     warmth.noteListed();
-    clock.time += TAKE_OVER;
+    clock.time += GRANTER_WAIT;
     warmth.noteRecord(record);
   }
   return gateways;
 }
 
-function pass(gateways: readonly ColdGateway[], time: number): void {
+function advance(gateways: readonly ColdGateway[], time: number): void {
   for (const { clock } of gateways) clock.time += time;
 }
 
@@ -40,138 +40,138 @@
   t.equal(gateway?.needsPermits, false);
 });
 
-t.test('no permit, no send; a permit lets one request go, for a short time', async (t) => {
+t.test('a request needs a permit; a permit admits one request and expires', async (t) => {
   const gateways = fleet(2);
-  const [granter, asker] = gateways as [ColdGateway, ColdGateway];
-  t.equal(asker.send(COLD, 5), 0);
-  t.equal(asker.needsPermits, true);
-  asker.requestPermits(granter);
-  t.equal(asker.send(COLD, 5), 2, 'the two that were granted');
-  pass(gateways, 1_000);
-  asker.send(COLD, 1);
-  asker.requestPermits(granter);
-  pass(gateways, 250);
-  t.equal(asker.send(COLD, 5), 0, 'too old');
-  t.equal(asker.metrics.snapshot()['cold_permits.void'], 2);
+  const [granter, requester] = gateways as [ColdGateway, ColdGateway];
+  t.equal(requester.send(COLD, 5), 0);
+  t.equal(requester.needsPermits, true);
+  requester.requestPermits(granter);
+  t.equal(requester.send(COLD, 5), 2, 'the two granted permits');
+  advance(gateways, 1_000);
+  requester.send(COLD, 1);
+  requester.requestPermits(granter);
+  advance(gateways, 250);
+  t.equal(requester.send(COLD, 5), 0, 'expired');
+  t.equal(requester.metrics.snapshot()['cold_permits.void'], 2);
 });
 
 t.test(
-  'a lost answer and a silent granter let nothing go, and warmth comes by itself',
+  'a lost answer admits nothing, and without a granter the worker becomes warm by time',
   async (t) => {
     const gateways = fleet(2);
-    const [granter, asker] = gateways as [ColdGateway, ColdGateway];
-    asker.send(COLD, 1);
-    granter.granter.answer(asker.rule.takeRequests());
-    t.equal(asker.send(COLD, 1), 0);
-    asker.applyAnswer(NOT_GRANTER, asker.clock.time);
-    t.equal(asker.send(COLD, 1), 0);
-    pass(gateways, 2_900);
-    t.equal(asker.send(COLD, 1), 0);
-    pass(gateways, 300);
-    t.equal(asker.send(COLD, 50), 50, 'warm, without a word of the granter');
+    const [granter, requester] = gateways as [ColdGateway, ColdGateway];
+    requester.send(COLD, 1);
+    granter.granter.answer(requester.rule.takeRequests());
+    t.equal(requester.send(COLD, 1), 0);
+    requester.applyAnswer(NOT_GRANTER, requester.clock.time);
+    t.equal(requester.send(COLD, 1), 0);
+    advance(gateways, 2_900);
+    t.equal(requester.send(COLD, 1), 0);
+    advance(gateways, 300);
+    t.equal(requester.send(COLD, 50), 50, 'warm, without an answer of the granter');
   },
 );
 
-t.test('an asker that is suspended with permits in hand wakes without them', async (t) => {
-  const [granter, asker] = fleet(2) as [ColdGateway, ColdGateway];
-  asker.send(COLD, 1);
-  asker.requestPermits(granter);
-  asker.clock.suspended += 400;
-  t.equal(asker.send(COLD, 5), 0);
+t.test('permits expire while their gateway is suspended', async (t) => {
+  const [granter, requester] = fleet(2) as [ColdGateway, ColdGateway];
+  requester.send(COLD, 1);
+  requester.requestPermits(granter);
+  requester.clock.suspended += 400;
+  t.equal(requester.send(COLD, 5), 0);
 });
 
-t.test('an answer that comes late grants nothing, though it was granted in time', async (t) => {
-  const [granter, asker] = fleet(2) as [ColdGateway, ColdGateway];
-  asker.send(COLD, 1);
-  const sentAt = asker.clock.time;
-  const answer = granter.granter.answer(asker.rule.takeRequests());
-  asker.clock.time += 300;
-  asker.applyAnswer(answer, sentAt);
-  t.equal(asker.send(COLD, 5), 0);
+t.test('permits of a late answer have expired, although they were granted in time', async (t) => {
+  const [granter, requester] = fleet(2) as [ColdGateway, ColdGateway];
+  requester.send(COLD, 1);
+  const sentAt = requester.clock.time;
+  const answer = granter.granter.answer(requester.rule.takeRequests());
+  requester.clock.time += 300;
+  requester.applyAnswer(answer, sentAt);
+  t.equal(requester.send(COLD, 5), 0);
 });
 
-t.test(
-  'a granter that was suspended under an answer grants nothing that still holds',
-  async (t) => {
-    const [granter, asker] = fleet(2) as [ColdGateway, ColdGateway];
-    asker.send(COLD, 1);
-    const sentAt = asker.clock.time;
-    const wishes = asker.rule.takeRequests();
-    // It stands still for long; another grants meanwhile, and it does not know that yet.
-    asker.clock.time += TAKE_OVER + 5_000;
-    const answer = granter.granter.answer(wishes);
-    asker.warmth.noteReported(COLD, 3_000, asker.clock.time);
-    asker.applyAnswer(answer, sentAt);
-    t.equal(asker.send(COLD, 5), 0);
-  },
-);
+t.test('permits of a granter that was suspended before its answer have expired', async (t) => {
+  const [granter, requester] = fleet(2) as [ColdGateway, ColdGateway];
+  requester.send(COLD, 1);
+  const sentAt = requester.clock.time;
+  const wishes = requester.rule.takeRequests();
+  // The granter is suspended for long and does not know yet that another has replaced it.
+  requester.clock.time += GRANTER_WAIT + 5_000;
+  const answer = granter.granter.answer(wishes);
+  requester.warmth.noteReported(COLD, 3_000, requester.clock.time);
+  requester.applyAnswer(answer, sentAt);
+  t.equal(requester.send(COLD, 5), 0);
+});
 
-t.test('a new granter waits until what the one before granted has gone', async (t) => {
+t.test('a new granter waits until the permits of its predecessor have expired', async (t) => {
   const gateways = fleet(3);
-  const [before, after, asker] = gateways as [ColdGateway, ColdGateway, ColdGateway];
-  asker.send(COLD, 1);
-  asker.requestPermits(before);
-  t.equal(asker.send(COLD, 9), 2);
+  const [before, after, requester] = gateways as [ColdGateway, ColdGateway, ColdGateway];
+  requester.send(COLD, 1);
+  requester.requestPermits(before);
+  t.equal(requester.send(COLD, 9), 2);
   before.token = undefined;
   after.token = 8;
-  for (let time = 0; time < TAKE_OVER; time += 100) {
-    asker.warmth.noteReported(COLD, 3_000, asker.clock.time);
-    asker.send(COLD, 1);
-    asker.requestPermits(after);
-    t.equal(asker.send(COLD, 9), 0);
-    pass(gateways, 100);
+  for (let time = 0; time < GRANTER_WAIT; time += 100) {
+    requester.warmth.noteReported(COLD, 3_000, requester.clock.time);
+    requester.send(COLD, 1);
+    requester.requestPermits(after);
+    t.equal(requester.send(COLD, 9), 0);
+    advance(gateways, 100);
   }
   after.warmth.noteReported(COLD, 3_000, after.clock.time);
-  asker.send(COLD, 1);
-  asker.requestPermits(after);
-  t.equal(asker.send(COLD, 9), 2);
+  requester.send(COLD, 1);
+  requester.requestPermits(after);
+  t.equal(requester.send(COLD, 9), 2);
 });
 
-t.test('two that both believe to grant for a moment keep the bound together', async (t) => {
-  const gateways = fleet(4);
-  const [before, after, ...askers] = gateways as [ColdGateway, ColdGateway, ...ColdGateway[]];
-  after.token = 8;
-  const sentAt: number[] = [];
-  for (let time = 0; time < TAKE_OVER + 3_000; time += 20) {
-    // The granter of before learns of its loss as late as its token allows.
-    if (time >= TOKEN_VALIDITY) before.token = undefined;
-    for (const [index, asker] of askers.entries()) {
-      for (const { warmth, clock } of gateways) warmth.noteReported(COLD, 3_000, clock.time);
-      asker.send(COLD, 1);
-      const mayKnowOnlyBefore = index === 0 && before.token !== undefined;
-      asker.requestPermits(mayKnowOnlyBefore ? before : after);
-      const sent = asker.send(COLD, 9);
-      for (let left = sent; left > 0; left -= 1) sentAt.push(time);
+t.test(
+  'two granters at the same time, the lost token not yet noticed, keep the bound together',
+  async (t) => {
+    const gateways = fleet(4);
+    const [before, after, ...requesters] = gateways as [ColdGateway, ColdGateway, ...ColdGateway[]];
+    after.token = 8;
+    const sentAt: number[] = [];
+    for (let time = 0; time < GRANTER_WAIT + 3_000; time += 20) {
+      // The old granter notices its loss as late as its token allows.
+      if (time >= TOKEN_VALIDITY) before.token = undefined;
+      for (const [index, requester] of requesters.entries()) {
+        for (const { warmth, clock } of gateways) warmth.noteReported(COLD, 3_000, clock.time);
+        requester.send(COLD, 1);
+        const mayKnowOnlyBefore = index === 0 && before.token !== undefined;
+        requester.requestPermits(mayKnowOnlyBefore ? before : after);
+        const sent = requester.send(COLD, 9);
+        for (let left = sent; left > 0; left -= 1) sentAt.push(time);
+      }
+      advance(gateways, 20);
     }
-    pass(gateways, 20);
-  }
-  const within = (from: number): number =>
-    sentAt.filter((at) => at >= from && at <= from + 1_000).length;
-  t.ok(sentAt.some((at) => at < TOKEN_VALIDITY) && sentAt.some((at) => at > TAKE_OVER));
-  t.ok(Math.max(...sentAt.map(within)) <= HARD_BOUND);
-});
+    const within = (from: number): number =>
+      sentAt.filter((at) => at >= from && at <= from + 1_000).length;
+    t.ok(sentAt.some((at) => at < TOKEN_VALIDITY) && sentAt.some((at) => at > GRANTER_WAIT));
+    t.ok(Math.max(...sentAt.map(within)) <= HARD_BOUND);
+  },
+);
 
-t.test('a grant under an older term than one that was seen is not used', async (t) => {
+t.test('a grant under a lower term than the highest seen is ignored', async (t) => {
   const gateways = fleet(3);
-  const [before, after, asker] = gateways as [ColdGateway, ColdGateway, ColdGateway];
+  const [before, after, requester] = gateways as [ColdGateway, ColdGateway, ColdGateway];
   after.token = 8;
-  asker.send(COLD, 1);
-  asker.requestPermits(after);
-  asker.send(COLD, 1);
-  asker.requestPermits(before);
-  t.equal(asker.send(COLD, 9), 0);
+  requester.send(COLD, 1);
+  requester.requestPermits(after);
+  requester.send(COLD, 1);
+  requester.requestPermits(before);
+  t.equal(requester.send(COLD, 9), 0);
 });
 
-t.test('a granter that is cut off from the store grants nothing', async (t) => {
-  const [granter, asker] = fleet(2) as [ColdGateway, ColdGateway];
-  asker.send(COLD, 1);
+t.test('a granter without a fencing token grants nothing', async (t) => {
+  const [granter, requester] = fleet(2) as [ColdGateway, ColdGateway];
+  requester.send(COLD, 1);
   granter.token = undefined;
-  t.same(asker.requestPermits(granter), NOT_GRANTER);
-  t.equal(asker.send(COLD, 9), 0);
+  t.same(requester.requestPermits(granter), NOT_GRANTER);
+  t.equal(requester.send(COLD, 9), 0);
 });
 
 t.test(
-  'a gateway that has just started takes warm workers for doubtful until it is told',
+  'a gateway that has just started treats warm workers as unconfirmed until the granter answers',
   async (t) => {
     const warm = worker('w1', { coldFor: 0 });
     const [granter] = fleet(1, warm) as [ColdGateway];
@@ -183,49 +183,52 @@
     started.clock.time += 1;
     started.requestPermits(granter);
     t.equal(started.send(warm, 50), 50);
-    t.same(granter.probed, [], 'the granter knew');
+    t.same(granter.probed, [], 'the granter needs no probe');
   },
 );
 
-t.test('a record of a worker that was there before says nothing of now', async (t) => {
-  const [granter] = fleet(1) as [ColdGateway];
-  granter.clock.time += 10_000;
-  const started = new ColdGateway(new Map([[COLD.id, COLD]]));
-  started.clock.time = granter.clock.time;
-  started.warmth.noteRecord(COLD);
-  started.warmth.noteListed();
-  started.send(COLD, 1);
-  started.clock.time += 1;
-  started.requestPermits(granter);
-  t.equal(started.send(COLD, 50), 50, 'it was cold long ago');
-});
+t.test(
+  'the cold time in the record of a worker older than the gateway is not trusted',
+  async (t) => {
+    const [granter] = fleet(1) as [ColdGateway];
+    granter.clock.time += 10_000;
+    const started = new ColdGateway(new Map([[COLD.id, COLD]]));
+    started.clock.time = granter.clock.time;
+    started.warmth.noteRecord(COLD);
+    started.warmth.noteListed();
+    started.send(COLD, 1);
+    started.clock.time += 1;
+    started.requestPermits(granter);
+    t.equal(started.send(COLD, 50), 50, 'the cold time has passed');
+  },
+);
 
 t.test(
-  'after the return of a zone its workers are doubted, also by a granter that learns late',
+  'after the return of a zone its workers are unconfirmed, also at a granter that learns of it late',
   async (t) => {
     const gateways = fleet(2);
-    const [granter, asker] = gateways as [ColdGateway, ColdGateway];
-    pass(gateways, 10_000);
-    t.equal(asker.send(COLD, 50), 50);
-    asker.warmth.markUnconfirmed(COLD);
-    t.equal(asker.send(COLD, 1), 0);
-    pass(gateways, 20);
-    asker.requestPermits(granter);
-    t.same(granter.probed, ['w1'], 'the granter has not heard of the return');
-    t.equal(asker.send(COLD, 9), 2, 'under permits');
+    const [granter, requester] = gateways as [ColdGateway, ColdGateway];
+    advance(gateways, 10_000);
+    t.equal(requester.send(COLD, 50), 50);
+    requester.warmth.markUnconfirmed(COLD);
+    t.equal(requester.send(COLD, 1), 0);
+    advance(gateways, 20);
+    requester.requestPermits(granter);
+    t.same(granter.probed, ['w1'], 'the granter does not know of the return');
+    t.equal(requester.send(COLD, 9), 2, 'with permits');
     granter.warmth.noteReported(COLD, 2_000, granter.clock.time);
-    asker.send(COLD, 1);
-    asker.requestPermits(granter);
-    pass(gateways, 1_900);
-    t.equal(asker.warmth.of(COLD, COLD_START).kind, 'cold', 'as the worker told');
-    pass(gateways, 300);
-    asker.send(COLD, 1);
-    asker.requestPermits(granter);
-    t.equal(asker.send(COLD, 50), 50);
+    requester.send(COLD, 1);
+    requester.requestPermits(granter);
+    advance(gateways, 1_900);
+    t.equal(requester.warmth.of(COLD, COLD_START).kind, 'cold', 'as the worker reported');
+    advance(gateways, 300);
+    requester.send(COLD, 1);
+    requester.requestPermits(granter);
+    t.equal(requester.send(COLD, 50), 50);
   },
 );
 
-t.test('a granter that asks itself takes a worker for warm in time', async (t) => {
+t.test('a granter that answers its own requests sees the worker as warm in time', async (t) => {
   const [granter] = fleet(1) as [ColdGateway];
   for (let time = 0; time < 3_200; time += 50) {
     granter.send(COLD, 1);
--- a/test/placement/distance-costs.test.ts
+++ b/test/placement/distance-costs.test.ts
@@ -1,8 +1,4 @@
-/**
- * A fleet over two regions, 12 ms apart. A direct request that takes 36 ms went to a worker of the other
- * region as readily as to one of the next zone, 1.4 ms away, and items went to any worker: a far place
- * was as good as a near one.
- */
+/** Requests and items go to another region although a nearer worker has a free slot. */
 import t from 'tap';
 import type { ItemNeeds } from '../../src/jobs/item-placement.js';
 import { PlacementRound } from '../../src/jobs/placement-round.js';
@@ -23,7 +19,7 @@
   ]),
 );
 
-/** One worker a zone, with so many requests under way each. */
+/** One worker per zone with this many requests in flight. */
 function registryWith(inFlight: Readonly<Record<string, number>>): WorkerRegistry {
   const registry = new WorkerRegistry(undefined, (...zones) => TOPOLOGY.distanceBetween(...zones));
   for (const [zone, count] of Object.entries(inFlight)) {
@@ -34,7 +30,7 @@
   return registry;
 }
 
-/** The zone of the worker that a direct request from `north-1` goes to. */
+/** Zone of the worker picked for a direct request from `north-1`. */
 function pickedFrom(registry: WorkerRegistry, tried: readonly string[] = []): string | undefined {
   return registry.pick(SERVICE, new Set(tried), 'north-1', NOW)?.record.zone;
 }
@@ -44,7 +40,7 @@
   t.equal(pickedFrom(registryWith({ 'south-1': 0, 'north-2': 0, 'north-1': 2 })), 'north-2');
   t.equal(pickedFrom(registryWith({ 'south-1': 0, 'north-2': 3, 'north-1': 4 })), 'north-1');
   const isFull = { 'south-1': 0, 'north-2': SLOTS + 1, 'north-1': SLOTS + 2 };
-  t.equal(pickedFrom(registryWith(isFull)), 'south-1', 'no place is left in the region');
+  t.equal(pickedFrom(registryWith(isFull)), 'south-1', 'no free slot in the region');
 });
 
 t.test('a retry and a hedge stay in the region while it has a worker not tried', async (t) => {
@@ -53,7 +49,7 @@
   t.equal(pickedFrom(registry, ['north-1', 'north-2']), 'south-1');
 });
 
-t.test('workers that refuse in the region send a direct request over the link', async (t) => {
+t.test('a direct request crosses regions when the workers of its region reject', async (t) => {
   const registry = registryWith({ 'south-1': 0, 'north-2': 0, 'north-1': 0 });
   for (const id of ['north-1', 'north-2']) registry.get(id)?.noteOutcome('full', NOW);
   t.equal(pickedFrom(registry), 'south-1');
@@ -66,7 +62,7 @@
   boundVersion: undefined,
 };
 
-/** Places items among two workers a zone, which make events at these times, and counts them by zone. */
+/** Places items among two workers per zone with these event intervals, and counts them by zone. */
 function placeItems(
   items: number,
   paces: Readonly<Record<string, number>>,
@@ -90,24 +86,28 @@
   return (zone) => placed.filter((name) => name === zone).length;
 }
 
-t.test('items spread over the zones of their region until all its places are taken', async (t) => {
+t.test('items spread over the zones of their region until it has no free slot', async (t) => {
   const even = { 'north-1': 40, 'north-2': 40, 'south-1': 40 };
   const near = placeItems(16, even);
   t.same([near('north-1'), near('north-2'), near('south-1')], [8, 8, 0]);
   const more = placeItems(20, even);
-  t.same([more('north-1'), more('north-2'), more('south-1')], [8, 8, 4], 'the rest finds a place');
+  t.same(
+    [more('north-1'), more('north-2'), more('south-1')],
+    [8, 8, 4],
+    'the rest crosses regions',
+  );
 });
 
-t.test('items cross the link where the near workers are much slower', async (t) => {
+t.test('items cross regions where the nearer workers are much slower', async (t) => {
   const muchSlower = { 'north-1': 100, 'north-2': 100, 'south-1': 40 };
   t.equal(placeItems(2, muchSlower)('south-1'), 2);
   const slower = { 'north-1': 60, 'north-2': 60, 'south-1': 40 };
-  t.equal(placeItems(4, slower)('south-1'), 0, 'the way would cost more than it gains');
+  t.equal(placeItems(4, slower)('south-1'), 0, 'the distance costs more than the speed gains');
   const long = { ...NEEDS, relativeLength: 3 };
   t.equal(placeItems(2, slower, long)('south-1'), 2, 'a long item gains more');
 });
 
-t.test('a near worker that others have filled is no reason to stay', async (t) => {
+t.test('a nearer worker that reports a full load is passed over', async (t) => {
   const near = new KnownWorker(worker('near', { zone: 'north-2', slots: SLOTS }));
   const far = new KnownWorker(worker('far', { zone: 'south-1', slots: SLOTS }));
   const round = new PlacementRound([near, far], NOW, itemDistanceCost(TOPOLOGY, false));
@@ -117,11 +117,11 @@
   t.equal(round.place(NEEDS, undefined), far);
 });
 
-t.test('in one region all workers are as near to an item, unless zones serve alone', async (t) => {
+t.test('in one region items have no distance cost, unless zones are autonomous', async (t) => {
   t.equal(itemDistanceCost(topologyWithoutRegions('zone-1'), false), undefined);
   const oneRegion = new ZoneTopology('zone-1', new Map([['zone-1', 'north']]));
   t.equal(itemDistanceCost(oneRegion, false), undefined);
-  t.equal(oneRegion.distanceTo('zone-unknown'), 'same-region', 'a zone the settings do not name');
+  t.equal(oneRegion.distanceTo('zone-unknown'), 'same-region', 'a zone missing from the settings');
   const byZone = itemDistanceCost(topologyWithoutRegions('zone-1'), true);
   t.same([byZone?.('zone-1'), byZone?.('zone-2')], [0, 0.3]);
 });
--- a/test/placement/job-residency.test.ts
+++ b/test/placement/job-residency.test.ts
@@ -1,6 +1,6 @@
 /**
- * Which nodes may hold a job, by the limits of its routes and its tenant; and as a property that no node
- * outside is probed, offered a job or made its owner.
+ * A job is stored outside the regions that its routes and its tenant allow. A property test checks
+ * that no node outside is probed, offered the job or made its owner.
  */
 import fc from 'fast-check';
 import t from 'tap';
@@ -51,52 +51,55 @@
   });
 }
 
-t.test('the routes of a job, of its items and of their scores bind, and its tenant', async (t) => {
-  const spec = { ...scoredSpecification('job', 2), tenant: 'owner' };
-  t.equal(residencyOf({}).regionsForSpec(spec), undefined);
-  t.same(residencyOf({ job: ['north', 'south'] }).regionsForSpec(spec), ['north', 'south']);
-  t.same(residencyOf({ job: ['north', 'south'], score: ['south'] }).regionsForSpec(spec), [
-    'south',
-  ]);
-  t.same(residencyOf({ job: ['north'], tenant: ['south'] }).regionsForSpec(spec), []);
-  t.same(residencyOf({ tenant: ['west'] }).regionsForSpec(spec), ['west']);
-});
+t.test(
+  'a job is limited by its routes, the routes of its items and scores, and its tenant',
+  async (t) => {
+    const spec = { ...scoredSpecification('job', 2), tenant: 'owner' };
+    t.equal(residencyOf({}).regionsForSpec(spec), undefined);
+    t.same(residencyOf({ job: ['north', 'south'] }).regionsForSpec(spec), ['north', 'south']);
+    t.same(residencyOf({ job: ['north', 'south'], score: ['south'] }).regionsForSpec(spec), [
+      'south',
+    ]);
+    t.same(residencyOf({ job: ['north'], tenant: ['south'] }).regionsForSpec(spec), []);
+    t.same(residencyOf({ tenant: ['west'] }).regionsForSpec(spec), ['west']);
+  },
+);
 
-t.test('what a head notes tells the same as the whole job', async (t) => {
+t.test('the head of a job gives the same regions as its specification', async (t) => {
   const spec = { ...scoredSpecification('job', 8), tenant: 'owner' };
   const limits = { job: ['north', 'south'], score: ['south', 'west'], tenant: ['south'] };
   const residency = residencyOf(limits);
   const { requests } = residency.headFieldsFor(spec);
-  t.equal(requests?.length, 2, 'one for each route');
+  t.equal(requests?.length, 2, 'one request for each route');
   const head = { tenant: 'owner', zone: 'north-1', requests };
   t.same(residency.regionsForOrigin(head), residency.regionsForSpec(spec));
   const inOneRegion = new Map([['north-1', 'north']]);
   t.same(
     residencyOf(limits, 'north-1', inOneRegion).headFieldsFor(spec),
     {},
-    'nothing is to be told',
+    'a fleet in one region needs no fields',
   );
 });
 
-t.test('a job of an unknown route stays where it was taken in', async (t) => {
+t.test('a job without a matching route stays in the region that accepted it', async (t) => {
   const residency = residencyOf({ job: ['north'] });
   const gone = { zone: 'south-1', requests: [{ host: 'gone.example', path: '/' }] };
   t.same(residency.regionsForOrigin(gone), ['south']);
-  t.same(residency.regionsForOrigin({ zone: 'south-1' }), ['south'], 'nothing was noted');
+  t.same(residency.regionsForOrigin({ zone: 'south-1' }), ['south'], 'a head without requests');
   t.same(residency.regionsForOrigin({ zone: 'south-1', tenant: 'nobody' }), ['south']);
-  t.equal(residency.regionsForOrigin({}), undefined, 'it is not known where that was');
+  t.equal(residency.regionsForOrigin({}), undefined, 'the accepting zone is unknown');
 });
 
-t.test('a zone that no region is known of may hold only what is not limited', async (t) => {
+t.test('a zone without a known region may store only unlimited jobs', async (t) => {
   const residency = residencyOf({ job: ['north'] });
   t.equal(residency.mayHoldIn('nowhere', ['north']), false);
   t.equal(residency.mayHoldIn(undefined, ['north']), false);
   t.equal(residency.mayHoldIn(undefined, undefined), true);
   t.equal(residency.mayHold('stranger', ['north']), false);
-  t.equal(residency.mayHoldHere(['north']), true, 'its own zone is known by the settings');
+  t.equal(residency.mayHoldHere(['north']), true, 'the own zone is in the settings');
 });
 
-/** Regions by number of zone, zone by number of node, limits, and which nodes live. */
+/** Region of each zone, zone of each node, limits, dead nodes and outcomes of peer requests. */
 const FLEETS = fc.record({
   regionOfZone: fc.array(fc.nat(3), { minLength: 1, maxLength: 6 }),
   zoneOfNode: fc.array(fc.nat(7), { minLength: 1, maxLength: 14 }),
@@ -108,7 +111,7 @@
   outcomes: fc.infiniteStream(fc.constantFrom('refused', 'silent', 'unavailable', 'taken')),
 });
 
-t.test('no node outside its regions is offered a job, owns it or keeps it', async (t) => {
+t.test('no node outside its regions is offered a job, owns it or stores it', async (t) => {
   const spec = { ...specification('job', 2), tenant: 'owner' };
   const drawn = fc.asyncProperty(FLEETS, async (fleet) => {
     const zoneName = (zone: number): string => `zone-${zone}`;
@@ -172,5 +175,5 @@
     return [...reached, ...owners].every(isInside) && isKeptInside && canBeOwned;
   });
   await fc.assert(drawn, { numRuns: 1_000 });
-  t.pass('over drawn topologies, limits and live nodes');
+  t.pass('over generated topologies, limits and live nodes');
 });
--- a/test/placement/permit-bucket.test.ts
+++ b/test/placement/permit-bucket.test.ts
@@ -1,4 +1,4 @@
-/** How many permits one cold worker's bucket grants, by what the worker bears and the bound. */
+/** A permit bucket grants more requests per second than the hard bound of a cold worker. */
 import t from 'tap';
 import {
   MAX_GRANT_TO_SEND_DELAY,
@@ -7,7 +7,7 @@
 } from '../../src/placement/permit-bucket.js';
 import { COLD_START, TOLERANCE } from './cold-fleet.js';
 
-t.test('a bucket keeps the bound in every window over which its permits may go', async (t) => {
+t.test('a bucket keeps the bound in every window in which its permits may be used', async (t) => {
   const cases = [
     [COLD_START, TOLERANCE],
     [
--- a/test/placement/shared-rate.ts
+++ b/test/placement/shared-rate.ts
@@ -1,4 +1,7 @@
-/** A way to spare cold workers without a granter, which permits are compared with. */
+/**
+ * Limits requests to cold workers without a granter; the simulation compares permits with this
+ * rule.
+ */
 import { rendezvousOrder } from '../../src/core/hashing.js';
 import {
   PermitBucket,
@@ -10,8 +13,8 @@
 import { COLD_START, type ColdGateway, TOLERANCE } from './cold-fleet.js';
 
 /**
- * The first two nodes in an order of a worker's own share its rate. Two nodes may differ
- * in whom they take for alive, so four may believe to be among the two, and each has a fourth.
+ * The first two nodes in the rendezvous order of a worker share its rate. Views of the live nodes
+ * may differ, so up to four nodes may see themselves among the two, and each gets a quarter.
  */
 export class SharedRate implements SendRule {
   private readonly buckets = new Map<string, PermitBucket>();
--- a/test/placement/stale-evacuation-rule.test.ts
+++ b/test/placement/stale-evacuation-rule.test.ts
@@ -1,8 +1,8 @@
-/** How long a node that hears from nobody acts on what it knows of evacuations. */
+/** A partitioned node sends work to zones whose evacuation it has missed. */
 import t from 'tap';
 import { StaleEvacuationRule } from '../../src/placement/stale-evacuation-rule.js';
 
-/** A belief whose surroundings a test sets. */
+/** A rule with inputs that the test sets. */
 function fixture() {
   const state = { limit: 5_000 as number | undefined, age: 0, hasPeers: true };
   const lines: string[] = [];
@@ -19,7 +19,7 @@
   return { surroundings: state, belief: rule, lines, isOutdated: isStale };
 }
 
-t.test('what is known counts for its age and is doubted past it', async (t) => {
+t.test('sends are rejected once the last contact is older than the limit', async (t) => {
   const { surroundings, belief, lines, isOutdated } = fixture();
   surroundings.age = 5_000;
   t.notOk(isOutdated());
@@ -27,19 +27,19 @@
   t.ok(isOutdated());
   t.equal(belief.rejectionOf(), 'evacuations-unknown');
   surroundings.age = 20;
-  t.equal(belief.rejectionOf(), undefined, 'at once after a contact, before the next tick');
+  t.equal(belief.rejectionOf(), undefined, 'immediately after a contact, before the next tick');
   t.same(lines, ['evacuations-unknown', 'evacuations-known']);
 });
 
 t.test(
-  'nothing is doubted without a bound, without other nodes, or before the start',
+  'no sends are rejected without a limit, without peers, or before the first contact',
   async (t) => {
     const { surroundings, isOutdated } = fixture();
     surroundings.age = Number.POSITIVE_INFINITY;
-    t.notOk(isOutdated(), 'a node that has heard nothing yet serves nothing yet');
+    t.notOk(isOutdated(), 'a node without a first contact serves nothing');
     surroundings.age = 60_000;
     surroundings.hasPeers = false;
-    t.notOk(isOutdated(), 'nobody could know more');
+    t.notOk(isOutdated(), 'no peer could know more');
     surroundings.hasPeers = true;
     surroundings.limit = undefined;
     t.notOk(isOutdated());
--- a/test/placement/worker-warmth.test.ts
+++ b/test/placement/worker-warmth.test.ts
@@ -1,4 +1,4 @@
-/** What one node takes workers for: cold, doubtful or warm, by records, looks and doubts. */
+/** A worker counts as warm while its record, a probe or the return of its zone says otherwise. */
 import t from 'tap';
 import { WorkerWarmth } from '../../src/placement/worker-warmth.js';
 import { ManualClock } from '../jobs/job-fixtures.js';
@@ -7,22 +7,25 @@
 
 const COLD = worker('w1', { coldFor: 3_000 });
 
-t.test('a look that was begun before the return does not settle the doubt', async (t) => {
-  const clock = new ManualClock();
-  const warmth = new WorkerWarmth(clock);
-  warmth.noteRecord(COLD);
-  const askedAt = clock.time;
-  clock.time += 50;
-  warmth.markUnconfirmed(COLD);
-  warmth.noteReported(COLD, 0, askedAt);
-  t.equal(warmth.of(COLD, COLD_START).kind, 'doubtful');
-  clock.time += 10;
-  warmth.noteReported(COLD, 0, clock.time);
-  t.equal(warmth.of(COLD, COLD_START).kind, 'warm');
-});
+t.test(
+  'a probe sent before the return of a zone does not confirm that its worker is warm',
+  async (t) => {
+    const clock = new ManualClock();
+    const warmth = new WorkerWarmth(clock);
+    warmth.noteRecord(COLD);
+    const askedAt = clock.time;
+    clock.time += 50;
+    warmth.markUnconfirmed(COLD);
+    warmth.noteReported(COLD, 0, askedAt);
+    t.equal(warmth.of(COLD, COLD_START).kind, 'doubtful');
+    clock.time += 10;
+    warmth.noteReported(COLD, 0, clock.time);
+    t.equal(warmth.of(COLD, COLD_START).kind, 'warm');
+  },
+);
 
 t.test(
-  'a worker that starts again under its id is cold again; a record that lags says nothing',
+  'a worker that restarts under its id is cold again; late records of the earlier incarnation are ignored',
   async (t) => {
     const clock = new ManualClock();
     const warmth = new WorkerWarmth(clock);
@@ -38,20 +41,23 @@
     t.equal(warmth.of(second, COLD_START).kind, 'cold');
     clock.time += 4_000;
     warmth.noteRecord({ ...second, coldFor: 2_000 });
-    t.equal(warmth.of(second, COLD_START).kind, 'cold', 'its record says so again');
+    t.equal(warmth.of(second, COLD_START).kind, 'cold', 'its record reports cold time again');
     warmth.noteRecord({ ...second, coldFor: 0 });
-    t.equal(warmth.of(second, COLD_START).kind, 'cold', 'no record shortens it');
+    t.equal(warmth.of(second, COLD_START).kind, 'cold', 'no record shortens the cold time');
   },
 );
 
-t.test('a new life that tells no cold time is doubtful as long as a start takes', async (t) => {
-  const clock = new ManualClock();
-  const warmth = new WorkerWarmth(clock);
-  warmth.noteListed();
-  const untold = worker('w1');
-  warmth.noteRecord(untold);
-  clock.time += 2_900;
-  t.equal(warmth.of(untold, COLD_START).kind, 'doubtful');
-  clock.time += 300;
-  t.equal(warmth.of(untold, COLD_START).kind, 'warm');
-});
+t.test(
+  'a new incarnation that reports no cold time is unconfirmed for the duration of a cold start',
+  async (t) => {
+    const clock = new ManualClock();
+    const warmth = new WorkerWarmth(clock);
+    warmth.noteListed();
+    const untold = worker('w1');
+    warmth.noteRecord(untold);
+    clock.time += 2_900;
+    t.equal(warmth.of(untold, COLD_START).kind, 'doubtful');
+    clock.time += 300;
+    t.equal(warmth.of(untold, COLD_START).kind, 'warm');
+  },
+);
--- a/test/placement/zone-return.test.ts
+++ b/test/placement/zone-return.test.ts
@@ -1,7 +1,6 @@
 /**
- * A zone's workers came back together and cold while the other zones were beyond their limit. All gateways
- * took the empty workers for the best ones and sent each of them more than it bore: they ended, with
- * what they ran, came back cold, and ended again.
+ * When a zone returns with cold workers while the others are overloaded, all gateways prefer its
+ * idle workers, which crash under the load again and again.
  */
 import t from 'tap';
 import { HARD_BOUND } from './cold-fleet.js';
@@ -12,7 +11,7 @@
 const permits = simulateReturn('permits');
 
 t.test(
-  'without a limit a zone that comes back cold falls over, and callers are refused',
+  'without protection the cold workers of a returning zone crash, and callers are rejected',
   async (t) => {
     t.ok(none.maxPerSecond > HARD_BOUND);
     t.ok(none.crashed > 0);
@@ -22,19 +21,19 @@
 );
 
 t.test(
-  'under permits no cold worker is sent more than it bears, and nobody is refused',
+  'with permits no cold worker receives more than it tolerates, and no caller is rejected',
   async (t) => {
     t.ok(permits.maxPerSecond <= HARD_BOUND, `${permits.maxPerSecond} in one second`);
     t.equal(permits.crashed, 0);
     t.equal(permits.refused, 0);
-    t.ok(permits.sentToCold > 0, 'the zone helps while it is cold');
+    t.ok(permits.sentToCold > 0, 'the zone serves requests while it is cold');
     t.ok(permits.servedInTime > none.servedInTime);
     t.comment(permits);
   },
 );
 
 t.test(
-  'senders that share the rate keep the bound too, and serve fewer callers in time',
+  'senders that share the rate also keep the bound, but serve no more callers in time',
   async (t) => {
     t.ok(shares.maxPerSecond <= HARD_BOUND);
     t.equal(shares.crashed, 0);
--- a/test/placement/zone-return.ts
+++ b/test/placement/zone-return.ts
@@ -1,6 +1,7 @@
 /**
- * A zone's workers come back together, cold, while the other zones are at their limit; one of the nodes that send is
- * suspended meanwhile, and the one that grants permits is killed. Time passes in steps; nothing is random.
+ * Simulates the return of a zone with cold workers while the other zones are overloaded; meanwhile
+ * one gateway is suspended and the permit granter is killed. Time advances in fixed steps; nothing
+ * is random.
  */
 import type { Milliseconds } from '../../src/core/units.js';
 import { type SendRule, SendRules } from '../../src/placement/send-rules.js';
@@ -9,17 +10,17 @@
 import { COLD_START, ColdGateway, HARD_BOUND } from './cold-fleet.js';
 import { SharedRate } from './shared-rate.js';
 
-/** How cold workers are spared: not at all, by few senders that share the rate, or by permits. */
+/** Protection of cold workers: none, few senders that share the rate, or permits. */
 export type ProtectionMode = 'none' | 'shares' | 'permits';
 
-/** What became of the callers, and the most that any cold worker was sent within a second. */
+/** Outcomes of the callers, and load on cold workers. */
 export interface ReturnOutcome {
   servedInTime: number;
   servedLate: number;
-  /** Had to wait for a place for more than {@link LONG_WAIT}. */
+  /** Waited longer than {@link LONG_WAIT} for a slot. */
   waited: number;
   refused: number;
-  /** Cold workers that were sent more than they bear, and ended. */
+  /** Cold workers that crashed under more requests than they tolerate. */
   crashed: number;
   maxPerSecond: number;
   /** Requests to workers while they were cold. */
@@ -36,13 +37,13 @@
 const ON_TIME_LIMIT: Milliseconds = 600;
 const LONG_WAIT: Milliseconds = 100;
 const CALLER_TIMEOUT: Milliseconds = 2_000;
-/** Three zones bear 480 a second, four 640. */
+/** 600 requests a second; three zones have capacity for 480, four for 640. */
 const REQUESTS_PER_STEP = 6;
 const RETURN_AT: Milliseconds = 1_000;
 const RESTART_TIME: Milliseconds = 2_000;
 const GRANTER = 0;
 const GRANTER_KILLED_AT: Milliseconds = 2_500;
-/** The lock's lease has lapsed, and another gateway has the lock. */
+/** The lease of the lock has expired, and another gateway holds the lock. */
 const NEXT_GRANTER_AT: Milliseconds = 4_500;
 const SUSPENDED = 3;
 const SUSPENSION = { from: 1_800, to: 2_600 } as const;
@@ -71,7 +72,6 @@
   ) {}
 }
 
-/** Plays the return of a zone in one of the ways. */
 export function simulateReturn(mode: ProtectionMode): ReturnOutcome {
   return new ZoneReturn(mode).run();
 }
@@ -113,7 +113,7 @@
     return [new SharedRate(gateway, `g${index}`, () => this.visibleGateways())];
   }
 
-  /** All of them have been there for long, and the first one grants. */
+  /** All gateways have run for long, and the first is the granter. */
   private startGateways(): void {
     for (const [index, gateway] of this.gateways.entries()) {
       if (index === GRANTER) gateway.token = 1;
@@ -153,7 +153,7 @@
     return this.gateways.map((_, index) => `g${index}`).slice(isGranterMissed ? 1 : 0);
   }
 
-  /** A suspended machine's steady clock stands still; what it lacks is told once it wakes. */
+  /** The steady clock of a suspended machine stops; the missing time counts as suspended. */
   private passTime(): void {
     for (const [index, { clock }] of this.gateways.entries()) {
       if (this.isUp(index)) clock.time += STEP;
@@ -161,7 +161,7 @@
     }
   }
 
-  /** Each gateway reads the new records a little later than the one before. */
+  /** Each gateway reads the new records a little later than the previous one. */
   private applyReturnedRecords(): void {
     for (const [index, { warmth }] of this.gateways.entries()) {
       if (this.now !== RETURN_AT + 100 * index) continue;
@@ -208,7 +208,7 @@
     this.waiting = left;
   }
 
-  /** A killed gateway's work is another's at once. */
+  /** Another gateway takes over the work of a killed one at once. */
   private ownerOf({ gateway }: Request): number {
     return this.isAlive(gateway) ? gateway : gateway + 1;
   }
