--- a/test/serving/evacuated-zone.test.ts
+++ b/test/serving/evacuated-zone.test.ts
@@ -1,4 +1,4 @@
-/** Requests of callers while the zone of some workers is evacuated: retries, hedges, resumed streams. */
+/** Retries, hedges and resumed streams go to workers of a zone that is being evacuated. */
 import { Readable } from 'node:stream';
 import t from 'tap';
 import { SendRules } from '../../src/placement/send-rules.js';
@@ -30,8 +30,8 @@
 }
 
 /**
- * Forwards one request while two workers of zone-1, the own zone, are evacuated from the moment of the
- * first send on, and one of zone-2 is not.
+ * Forwards one request; the first send starts the evacuation of zone-1 with two of the three
+ * workers.
  */
 async function forward(scripts: Script[], fields: Partial<Route> = {}): Promise<Forwarded> {
   const evacuations = new ZoneEvacuations();
@@ -61,13 +61,13 @@
   return { sink, sentTo: engine.requests.map((request) => request.worker.id) };
 }
 
-t.test('what is under way as the evacuation begins is answered', async (t) => {
+t.test('a request in flight when the evacuation begins is answered', async (t) => {
   const { sink, sentTo } = await forward([answer('reply')]);
   t.equal(sink.body, 'reply');
   t.same(sentTo, ['near-1']);
 });
 
-t.test('a retry goes elsewhere, whatever came of the first try', async (t) => {
+t.test('a retry goes to another zone, whatever the outcome of the first attempt', async (t) => {
   for (const first of [BROKEN, NOT_RUN]) {
     const { sink, sentTo } = await forward([first, answer('reply')]);
     t.equal(sink.body, 'reply');
@@ -75,13 +75,13 @@
   }
 });
 
-t.test('a hedge goes elsewhere', async (t) => {
+t.test('a hedge goes to another zone', async (t) => {
   const { sink, sentTo } = await forward(['hang', answer('reply')], { targetLatency: 100 });
   t.equal(sink.body, 'reply');
   t.same(sentTo, ['near-1', 'far']);
 });
 
-t.test('a stream that breaks off goes on elsewhere', async (t) => {
+t.test('a broken stream is resumed in another zone', async (t) => {
   const pieces = async function* (): AsyncGenerator<Buffer> {
     yield Buffer.from(events(0, 'ab'));
     throw new Error('reset');
@@ -95,7 +95,7 @@
   t.same(sentTo, ['near-1', 'far']);
 });
 
-t.test('where nobody else is left, a request that has not run is refused as such', async (t) => {
+t.test('a request that did not run is rejected as overloaded when no worker is left', async (t) => {
   const { sink, sentTo } = await forward([NOT_RUN, NOT_RUN], { kind: 'mutating' });
   t.same(sentTo, ['near-1', 'far']);
   t.equal(sink.failure?.kind, 'overloaded');
--- a/test/serving/event-stream.test.ts
+++ b/test/serving/event-stream.test.ts
@@ -2,7 +2,7 @@
 import { EventStreamReader } from '../../src/serving/event-stream.js';
 import { events, VERSION_FIELD } from './serving-fixtures.js';
 
-t.test('events come out whole, however the bytes are cut', async (t) => {
+t.test('events are complete for any chunk size', async (t) => {
   const bytes = Buffer.from(events(3, 'abcd'));
   for (let size = 1; size <= bytes.length; size += 1) {
     const reader = new EventStreamReader(VERSION_FIELD);
@@ -17,19 +17,19 @@
   }
 });
 
-t.test('a part of an event is never given', async (t) => {
+t.test('an incomplete event is never returned', async (t) => {
   const reader = new EventStreamReader(VERSION_FIELD);
   t.same(reader.push(Buffer.from('id: 1\ndata: wh')), []);
   t.ok(reader.hasPartialEvent());
 });
 
-t.test('lines may end with a carriage return, and data may span lines', async (t) => {
+t.test('lines may end with a carriage return and line feed, and data may span lines', async (t) => {
   const reader = new EventStreamReader(VERSION_FIELD);
   const [event] = reader.push(Buffer.from('id: 1\r\ndata: a\r\ndata: b\r\n\r\n'));
   t.equal(event?.data, 'a\nb');
 });
 
-t.test('an event tells a change of weights by its own line', async (t) => {
+t.test('an event reports a change of weights in its own field', async (t) => {
   const reader = new EventStreamReader(VERSION_FIELD);
   const [event] = reader.push(Buffer.from(`${VERSION_FIELD}: 7\nid: 1\ndata: a\n\n`));
   t.equal(event?.weightVersion, 7);
--- a/test/serving/read-chunks.test.ts
+++ b/test/serving/read-chunks.test.ts
@@ -2,12 +2,12 @@
 import t from 'tap';
 import { readChunks, readWhole } from '../../src/serving/read-chunks.js';
 
-t.test('a stream that ends is read whole', async (t) => {
+t.test('a stream that ends is returned complete', async (t) => {
   const body = await readWhole(Readable.from([Buffer.from('one '), Buffer.from('two')]));
   t.equal(body?.toString(), 'one two');
 });
 
-t.test('a stream that breaks, or closes before its end, is not whole', async (t) => {
+t.test('a stream that breaks, or closes before its end, is reported as broken', async (t) => {
   const broken = new PassThrough();
   const read = readWhole(broken);
   broken.write('half');
@@ -18,10 +18,10 @@
   closed.write('half');
   closed.destroy();
   t.equal(await other, 'broken');
-  t.equal(await readChunks(closed, () => true), 'broken', 'it was closed before');
+  t.equal(await readChunks(closed, () => true), 'broken', 'closed before reading');
 });
 
-t.test('a reader that wants no more is handed nothing more', async (t) => {
+t.test('a reader that stops receives no further chunks', async (t) => {
   const stream = new PassThrough();
   const seen: string[] = [];
   const read = readChunks(stream, (chunk) => {
@@ -35,6 +35,6 @@
   t.same(seen, ['one']);
 });
 
-t.test('more than the limit is not taken', async (t) => {
+t.test('a stream above the limit is not returned', async (t) => {
   t.equal(await readWhole(Readable.from([Buffer.alloc(6), Buffer.alloc(6)]), 10), undefined);
 });
--- a/test/serving/regional-requests.test.ts
+++ b/test/serving/regional-requests.test.ts
@@ -1,4 +1,4 @@
-/** Requests of callers that only workers of some regions may serve. */
+/** A request is sent to a worker outside the regions that its route and its tenant allow. */
 import t from 'tap';
 import { ResidencyRule } from '../../src/placement/residency-rule.js';
 import { SendRules } from '../../src/placement/send-rules.js';
@@ -32,18 +32,18 @@
   ]),
 );
 
-interface Tried {
+interface Forwarded {
   readonly sink: RecordingSink;
   readonly zones: readonly string[];
   readonly lines: readonly string[];
 }
 
-/** One try at a gateway in the north, with a worker in each of some zones. */
-async function tryWith(
+/** Forwards one request from a gateway in the north, with one worker in each given zone. */
+async function forwardWith(
   workerZones: readonly string[],
   fields: Partial<Route>,
   tenantRegions?: readonly string[],
-): Promise<Tried> {
+): Promise<Forwarded> {
   const registry = new WorkerRegistry(new SendRules([new ResidencyRule(TOPOLOGY)]));
   for (const zone of workerZones) registry.put(worker(`w-${zone}`, { zone }));
   const engine = new ScriptedEngine([answer('done')]);
@@ -63,33 +63,39 @@
   return { sink, zones: engine.requests.map((sent) => sent.worker.zone), lines };
 }
 
-t.test('a request whose regions have no worker is refused at once, and says why', async (t) => {
-  for (const kind of ['read-only', 'mutating', 'streaming'] as const) {
-    const startedAt = PROCESS_CLOCK.now();
-    const { sink, zones, lines } = await tryWith(['north-1'], { kind, allowedRegions: ['south'] });
-    t.match(sink.failure, { kind: 'region_unavailable', detail: /south/ }, kind);
-    t.ok(PROCESS_CLOCK.now() - startedAt < 200);
-    t.same(zones, []);
-    t.match(lines.join(''), /request-refused/);
-  }
-});
+t.test(
+  'a request without a worker in its regions is rejected at once, with the regions in the detail',
+  async (t) => {
+    for (const kind of ['read-only', 'mutating', 'streaming'] as const) {
+      const startedAt = PROCESS_CLOCK.now();
+      const { sink, zones, lines } = await forwardWith(['north-1'], {
+        kind,
+        allowedRegions: ['south'],
+      });
+      t.match(sink.failure, { kind: 'region_unavailable', detail: /south/ }, kind);
+      t.ok(PROCESS_CLOCK.now() - startedAt < 200);
+      t.same(zones, []);
+      t.match(lines.join(''), /request-refused/);
+    }
+  },
+);
 
-t.test('a request goes past the near workers to those in its regions', async (t) => {
+t.test('a request skips nearer workers outside its regions', async (t) => {
   const limited = { allowedRegions: ['south'] };
-  const { sink, zones } = await tryWith(['north-1', 'south-1'], limited);
+  const { sink, zones } = await forwardWith(['north-1', 'south-1'], limited);
   t.equal(sink.status, 200);
   t.same(zones, ['south-1']);
 });
 
-t.test('where route and tenant disagree nothing is sent', async (t) => {
-  const { sink, zones } = await tryWith(['north-1', 'south-1'], { allowedRegions: ['south'] }, [
+t.test('nothing is sent where the regions of route and tenant have no intersection', async (t) => {
+  const { sink, zones } = await forwardWith(['north-1', 'south-1'], { allowedRegions: ['south'] }, [
     'north',
   ]);
   t.match(sink.failure, { kind: 'region_unavailable' });
   t.same(zones, []);
 });
 
-t.test('a limit that comes between two attempts binds on the second', async (t) => {
+t.test('a limit that changes between two attempts applies to the second', async (t) => {
   const inRegion = (name: string): RouteMatcher =>
     new RouteMatcher(configuration([route({ allowedRegions: [name] })]));
   const registry = new WorkerRegistry(new SendRules([new ResidencyRule(TOPOLOGY)]));
@@ -112,7 +118,7 @@
   t.equal(sink.status, 200);
 });
 
-t.test('a service without any worker is told as before', async (t) => {
-  const { sink } = await tryWith([], { allowedRegions: ['south'] });
+t.test('a service without workers is still reported as no_worker', async (t) => {
+  const { sink } = await forwardWith([], { allowedRegions: ['south'] });
   t.match(sink.failure, { kind: 'no_worker' });
 });
--- a/test/serving/request-fingerprint.test.ts
+++ b/test/serving/request-fingerprint.test.ts
@@ -9,13 +9,13 @@
   body: Buffer.from('question'),
 };
 
-t.test('the same work has the same fingerprint', async (t) => {
+t.test('the same content has the same fingerprint', async (t) => {
   const again = { ...WORK, body: Buffer.from('question') };
   t.equal(requestFingerprint(again), requestFingerprint(WORK));
   t.match(requestFingerprint(WORK), /^[0-9a-f]{32}$/);
 });
 
-t.test('any other work has another one', async (t) => {
+t.test('any difference gives another fingerprint', async (t) => {
   const others: RequestContent[] = [
     { ...WORK, method: 'GET' },
     { ...WORK, host: 'other.example' },
--- a/test/serving/request-forwarder.test.ts
+++ b/test/serving/request-forwarder.test.ts
@@ -28,7 +28,7 @@
 interface Forwarded {
   readonly sink: RecordingSink;
   readonly engine: ScriptedEngine;
-  /** Tenants whose requests began to run. */
+  /** Tenants whose requests started. */
   readonly started: readonly string[];
 }
 
@@ -59,7 +59,7 @@
   return { sink, engine, started: started };
 }
 
-t.test('the answer of a worker goes back as it is', async (t) => {
+t.test('the answer of a worker is relayed unchanged', async (t) => {
   const { sink, engine } = await forward([answer('reply', { status: 201 })]);
   t.equal(sink.status, 201);
   t.same(sink.headers, ['X-Stamp', 'stamp']);
@@ -67,20 +67,20 @@
   t.equal(engine.requests.length, 1);
 });
 
-t.test('a repeatable request goes to another worker after each kind of failure', async (t) => {
-  for (const first of [BROKEN, UNREACHED, NOT_RUN, brokenAnswer('par')]) {
-    const { sink, engine } = await forward([first, answer('reply')]);
-    t.equal(sink.body, 'reply');
-    const [one, two] = engine.requests.map((request) => request.worker.id);
-    t.not(one, two);
-  }
-});
+t.test(
+  'a repeatable request is retried at another worker after each kind of failure',
+  async (t) => {
+    for (const first of [BROKEN, UNREACHED, NOT_RUN, brokenAnswer('par')]) {
+      const { sink, engine } = await forward([first, answer('reply')]);
+      t.equal(sink.body, 'reply');
+      const [one, two] = engine.requests.map((request) => request.worker.id);
+      t.not(one, two);
+    }
+  },
+);
 
-/**
- * Kept connections that fell silent together look like late workers: a second call over another one
- * of them would wait as well, until the caller's time is over.
- */
-t.test('the call that overtakes a late one goes over a new connection', async (t) => {
+/** A hedge over a pooled connection would hang too when all pooled connections are dead. */
+t.test('a hedge uses a new connection', async (t) => {
   const { engine } = await forward(['hang', answer('reply')], { targetLatency: 100 });
   t.same(
     engine.requests.map(({ wantsNewConnection = false }) => wantsNewConnection),
@@ -88,7 +88,7 @@
   );
 });
 
-t.test('the call after a failed one uses a kept connection', async (t) => {
+t.test('a retry after a failure uses a pooled connection', async (t) => {
   const { engine } = await forward([NOT_RUN, answer('reply')]);
   t.same(
     engine.requests.map(({ wantsNewConnection = false }) => wantsNewConnection),
@@ -96,13 +96,13 @@
   );
 });
 
-t.test('no more workers are tried than the route allows', async (t) => {
+t.test('attempts stop at the maximum of the route', async (t) => {
   const { sink, engine } = await forward([BROKEN, BROKEN, answer('late')], { maxAttempts: 2 });
   t.equal(engine.requests.length, 2);
   t.equal(sink.failure?.kind, 'engine_failed');
 });
 
-t.test('lines about broken attempts tell which tries were the same request', async (t) => {
+t.test('log lines about broken attempts identify tries of the same request', async (t) => {
   const recorded = recordingLog();
   await forward([BROKEN, answer('reply')], {}, { requestId: 'first try' }, recorded);
   await forward([BROKEN, answer('reply')], {}, { requestId: 'second try' }, recorded);
@@ -116,80 +116,83 @@
   t.match(broken[0], { request: 'first try', worker: 'w1', othersThere: 0, elsewhere: 0 });
 });
 
-t.test(
-  'a failure that a worker tells does not clear a request under which workers ended',
-  async (t) => {
-    const registry = new WorkerRegistry();
-    for (const id of ['w1', 'w2', 'w3', 'w4', 'w5']) registry.put(worker(id));
-    const late = answer('', { status: 504 });
-    const engine = new ScriptedEngine([BROKEN, BROKEN, late, BROKEN, answer('reply')]);
-    const forwarder = new RequestForwarder({
-      engine,
-      versionField: VERSION_FIELD,
-      registry,
-      quarantine: quarantine(async () => 'ended'),
-      clock: PROCESS_CLOCK,
-      log: recordingLog().log,
-      metrics: new FleetMetrics(),
-      zone: 'zone-1',
-    });
-    const sink = new RecordingSink();
-    await forwarder.forward(callerRequest(), route({ maxAttempts: 5 }), 'service', sink);
-    t.equal(engine.requests.length, 4, 'not sent again after the third');
-    t.equal(sink.failure?.kind, 'engine_failed');
-  },
-);
+t.test('a failure status does not clear the evidence against a request', async (t) => {
+  const registry = new WorkerRegistry();
+  for (const id of ['w1', 'w2', 'w3', 'w4', 'w5']) registry.put(worker(id));
+  const late = answer('', { status: 504 });
+  const engine = new ScriptedEngine([BROKEN, BROKEN, late, BROKEN, answer('reply')]);
+  const forwarder = new RequestForwarder({
+    engine,
+    versionField: VERSION_FIELD,
+    registry,
+    quarantine: quarantine(async () => 'ended'),
+    clock: PROCESS_CLOCK,
+    log: recordingLog().log,
+    metrics: new FleetMetrics(),
+    zone: 'zone-1',
+  });
+  const sink = new RecordingSink();
+  await forwarder.forward(callerRequest(), route({ maxAttempts: 5 }), 'service', sink);
+  t.equal(engine.requests.length, 4, 'no retry after the third crash');
+  t.equal(sink.failure?.kind, 'engine_failed');
+});
 
-t.test('a late worker is overtaken by another and cancelled', async (t) => {
+t.test('a hedge answers for a late worker, whose attempt is cancelled', async (t) => {
   const { sink, engine } = await forward(['hang', answer('reply')], { targetLatency: 20 });
   t.equal(sink.body, 'reply');
   t.same(engine.cancelled, [engine.requests[0]?.worker.id]);
 });
 
-t.test("a worker's own failure is passed on when no other worker does better", async (t) => {
+t.test("a worker's own failure is relayed when no other worker answers", async (t) => {
   const { sink } = await forward([answer('sorry', { status: 500 })], { maxAttempts: 1 });
   t.equal(sink.status, 500);
   t.equal(sink.body, 'sorry');
 });
 
-t.test('a refusal says "not run" only where no worker can have begun', async (t) => {
-  const refused = await forward([NOT_RUN, UNREACHED, NOT_RUN], { kind: 'mutating' });
-  t.equal(refused.sink.failure?.kind, 'overloaded');
-  t.ok((refused.sink.failure?.retryAfter ?? 0) > 0);
-  const unknown = await forward([NOT_RUN, BROKEN], { kind: 'mutating' });
-  t.equal(unknown.sink.failure?.kind, 'engine_failed');
-});
+t.test(
+  'a failure implies "not run" only where no worker can have started the request',
+  async (t) => {
+    const refused = await forward([NOT_RUN, UNREACHED, NOT_RUN], { kind: 'mutating' });
+    t.equal(refused.sink.failure?.kind, 'overloaded');
+    t.ok((refused.sink.failure?.retryAfter ?? 0) > 0);
+    const unknown = await forward([NOT_RUN, BROKEN], { kind: 'mutating' });
+    t.equal(unknown.sink.failure?.kind, 'engine_failed');
+  },
+);
 
-t.test('what may not be repeated is sent to one worker that may have run it', async (t) => {
+t.test('a non-repeatable request is not retried after a worker may have run it', async (t) => {
   const { engine } = await forward([BROKEN, answer('again')], { kind: 'mutating' });
   t.equal(engine.requests.length, 1);
 });
 
-t.test('a request is answered at its timeout, and its worker is told', async (t) => {
+t.test('a request is answered at its timeout, and its attempt is cancelled', async (t) => {
   const { sink, engine } = await forward(['hang'], { timeout: 30 });
   t.equal(sink.failure?.kind, 'deadline_exceeded');
   t.equal(engine.cancelled.length, 1);
 });
 
-t.test('the time that is left travels with the request', async (t) => {
+t.test('the remaining time is sent with the request', async (t) => {
   const receivedAt = PROCESS_CLOCK.now() - 1_000;
   const { engine } = await forward([answer('reply')], {}, { receivedAt, timeout: 3_000 });
   const remaining = engine.requests[0]?.remaining ?? 0;
   t.ok(remaining <= 2_000 && remaining > 0);
 });
 
-t.test('when the caller leaves, the worker is cancelled and nothing is answered', async (t) => {
-  const gone = new AbortController();
-  setTimeout(() => gone.abort(), 20);
-  const { sink, engine } = await forward(['hang'], {}, { disconnectSignal: gone.signal });
-  t.equal(sink.ending, 'open');
-  t.equal(engine.cancelled.length, 1);
-});
+t.test(
+  'when the caller disconnects, the attempt is cancelled and nothing is answered',
+  async (t) => {
+    const disconnect = new AbortController();
+    setTimeout(() => disconnect.abort(), 20);
+    const { sink, engine } = await forward(['hang'], {}, { disconnectSignal: disconnect.signal });
+    t.equal(sink.ending, 'open');
+    t.equal(engine.cancelled.length, 1);
+  },
+);
 
-/** The time after which no worker may work for a caller that has left. */
+/** Maximum time from the caller's disconnect to the end of all attempts. */
 const MAX_CANCEL_TIME = 500;
 
-/** A stream that gives some events and then waits, until its request is ended. */
+/** A stream that sends some events and then hangs until its request is cancelled. */
 function waitingStream(letters: string): Script {
   const body = new Readable({ read: () => {} });
   body.push(Buffer.from(events(0, letters)));
@@ -213,7 +216,7 @@
   return { ...forwarded, time: performance.now() - disconnectedAt };
 }
 
-t.test('when the caller leaves, both calls under way end', async (t) => {
+t.test('when the caller disconnects, both pending attempts are cancelled', async (t) => {
   const scripts: Script[] = ['hang', 'hang', 'hang'];
   const { sink, engine, time } = await timeAfterDisconnect(scripts, 90, { targetLatency: 100 });
   t.equal(engine.requests.length, 2);
@@ -222,32 +225,38 @@
   t.ok(time < MAX_CANCEL_TIME, `ended after ${time} ms`);
 });
 
-t.test('when the caller leaves a stream, its run ends and no other begins', async (t) => {
-  const stream = waitingStream('ab');
-  const fields = { kind: 'streaming', resumable: true } as const;
-  const { engine, time } = await timeAfterDisconnect([stream, 'hang'], 30, fields);
-  t.equal(engine.requests.length, 1);
-  t.ok(stream !== 'hang' && stream.kind === 'answered' && stream.body.destroyed);
-  t.ok(time < MAX_CANCEL_TIME, `ended after ${time} ms`);
-});
+t.test(
+  'when the caller of a stream disconnects, its run is cancelled and not resumed',
+  async (t) => {
+    const stream = waitingStream('ab');
+    const fields = { kind: 'streaming', resumable: true } as const;
+    const { engine, time } = await timeAfterDisconnect([stream, 'hang'], 30, fields);
+    t.equal(engine.requests.length, 1);
+    t.ok(stream !== 'hang' && stream.kind === 'answered' && stream.body.destroyed);
+    t.ok(time < MAX_CANCEL_TIME, `ended after ${time} ms`);
+  },
+);
 
-t.test('when the caller leaves between two workers, the second call ends', async (t) => {
-  const first = brokenAnswer(events(0, 'ab'), { isStream: true });
-  const fields = { kind: 'streaming', resumable: true } as const;
-  const { engine, time } = await timeAfterDisconnect([first, 'hang', 'hang'], 60, fields);
-  t.equal(engine.requests.length, 2);
-  t.same(engine.cancelled, [engine.requests[1]?.worker.id]);
-  t.ok(time < MAX_CANCEL_TIME, `ended after ${time} ms`);
-});
+t.test(
+  'when the caller disconnects while a stream is resumed, the second attempt is cancelled',
+  async (t) => {
+    const first = brokenAnswer(events(0, 'ab'), { isStream: true });
+    const fields = { kind: 'streaming', resumable: true } as const;
+    const { engine, time } = await timeAfterDisconnect([first, 'hang', 'hang'], 60, fields);
+    t.equal(engine.requests.length, 2);
+    t.same(engine.cancelled, [engine.requests[1]?.worker.id]);
+    t.ok(time < MAX_CANCEL_TIME, `ended after ${time} ms`);
+  },
+);
 
-t.test('for a caller that left before its request was read whole, nothing is sent', async (t) => {
+t.test('nothing is sent for a caller that disconnected before forwarding', async (t) => {
   for (const kind of ['read-only', 'mutating', 'streaming'] as const) {
     const { engine } = await timeAfterDisconnect([answer('reply')], 0, { kind });
     t.equal(engine.requests.length, 0, kind);
   }
 });
 
-t.test('a resumable stream goes on at another worker without a gap', async (t) => {
+t.test('a resumable stream is resumed at another worker without a gap', async (t) => {
   const first = brokenAnswer(`${events(0, 'ab')}id: 2\nda`, { isStream: true });
   const second = answer(events(2, 'cd'), { isStream: true });
   const { sink, engine } = await forward([first, second], { kind: 'streaming', resumable: true });
@@ -256,14 +265,14 @@
   t.equal(engine.requests[1]?.lastEventId, 1);
 });
 
-t.test('a stream that may not be resumed is broken off, so that it looks incomplete', async (t) => {
+t.test('a broken non-resumable stream is aborted, so that it is seen as incomplete', async (t) => {
   const first = brokenAnswer(events(0, 'ab'), { isStream: true });
   const { sink } = await forward([first], { kind: 'streaming' });
   t.equal(sink.body, events(0, 'ab'));
   t.equal(sink.ending, 'broken');
 });
 
-t.test('events out of order are not passed on', async (t) => {
+t.test('events out of order are not relayed', async (t) => {
   const odd = answer(events(0, 'ab') + events(5, 'x'), { isStream: true });
   const { sink } = await forward([odd], { kind: 'streaming' });
   t.equal(sink.body, events(0, 'ab'));
@@ -272,18 +281,18 @@
 
 const NORTH: Tenant = { name: 'north', keyDigests: [], priority: 2 };
 
-t.test('a request counts once for its tenant when a worker may have begun it', async (t) => {
+t.test('a request counts once for its tenant when a worker may have started it', async (t) => {
   const caller = { kind: 'tenant', tenant: NORTH } as const;
   const counts = async (scripts: Script[], routeFields: Partial<Route> = {}): Promise<number> =>
     (await forward(scripts, routeFields, { caller })).started.length;
   t.equal(await counts([answer('one')]), 1);
-  t.equal(await counts([BROKEN, answer('one')]), 1, 'two runs are one request');
-  t.equal(await counts([NOT_RUN, UNREACHED, NOT_RUN]), 0, 'what no worker began is not counted');
+  t.equal(await counts([BROKEN, answer('one')]), 1, 'two attempts of one request');
+  t.equal(await counts([NOT_RUN, UNREACHED, NOT_RUN]), 0, 'no worker started it');
   t.equal(await counts([BROKEN], { kind: 'mutating' }), 1);
-  t.same((await forward([answer('one')])).started, [], 'nobody to count for');
+  t.same((await forward([answer('one')])).started, [], 'no tenant');
 });
 
-t.test("a tenant's priority goes before the route's", async (t) => {
+t.test("a tenant's priority overrides the route's", async (t) => {
   const caller = { kind: 'tenant', tenant: NORTH } as const;
   const own = await forward([answer('one')], { priority: 4 }, { caller });
   t.match(own.engine.requests[0], { tenant: 'north', priority: 2 });
--- a/test/serving/request-quarantine.test.ts
+++ b/test/serving/request-quarantine.test.ts
@@ -42,13 +42,13 @@
     });
   }
 
-  /** Workers of these names end while the request is there. */
+  /** Crashes the named workers under the request. */
   async crashUnder(request: FingerprintedRequest, names: string[], next: NextSender = 'any-node') {
     for (const name of names) await this.quarantine.noteBroken(worker(name), request, next);
   }
 }
 
-t.test('a request is refused once three workers ended under it', async (t) => {
+t.test('a request is rejected once three workers crashed under it', async (t) => {
   const fixture = new Fixture();
   const request = requestTo('/x');
   await fixture.crashUnder(request, ['w1', 'w2']);
@@ -59,7 +59,7 @@
   t.ok(fixture.lines.some((line) => line.includes('"request-quarantined"')));
 });
 
-t.test('one worker counts once, however often it is told', async (t) => {
+t.test('one worker counts once, however often its crash is reported', async (t) => {
   const fixture = new Fixture();
   const request = requestTo('/x');
   await fixture.crashUnder(request, ['w1', 'w1']);
@@ -67,16 +67,19 @@
   t.equal(fixture.quarantine.crashesUnder(request).length, 1);
 });
 
-t.test('copies side by side count as ended where something speaks against it', async (t) => {
-  const fixture = new Fixture();
-  const request = requestTo('/x');
-  t.ok(fixture.quarantine.admits(request, 5), 'nothing does');
-  await fixture.crashUnder(request, ['w1']);
-  t.ok(fixture.quarantine.admits(request, MAX_CRASHED_WORKERS - 2));
-  t.notOk(fixture.quarantine.admits(request, MAX_CRASHED_WORKERS - 1));
-});
+t.test(
+  'attempts in flight count as crashes if there is evidence against the request',
+  async (t) => {
+    const fixture = new Fixture();
+    const request = requestTo('/x');
+    t.ok(fixture.quarantine.admits(request, 5), 'no evidence');
+    await fixture.crashUnder(request, ['w1']);
+    t.ok(fixture.quarantine.admits(request, MAX_CRASHED_WORKERS - 2));
+    t.notOk(fixture.quarantine.admits(request, MAX_CRASHED_WORKERS - 1));
+  },
+);
 
-t.test('a broken connection counts until its worker has said that it lives', async (t) => {
+t.test('a broken connection counts until a probe finds the worker alive', async (t) => {
   const fixture = new Fixture();
   fixture.liveness = 'lives';
   const request = requestTo('/x');
@@ -86,7 +89,7 @@
   t.equal(fixture.quarantine.crashesUnder(request).length, 0);
 });
 
-t.test('a worker that does not answer in time counts as ended', async (t) => {
+t.test('a worker that does not answer the probe in time counts as crashed', async (t) => {
   const fixture = new Fixture();
   fixture.liveness = 'unknown';
   const request = requestTo('/x');
@@ -94,17 +97,17 @@
   t.equal(fixture.quarantine.crashesUnder(request).length, 1);
 });
 
-t.test('a worker is asked once for all requests that were there', async (t) => {
+t.test('a worker is probed once for all requests that were on it', async (t) => {
   const fixture = new Fixture();
   const requests = ['/a', '/b', '/c', '/d'].map(requestTo);
   await Promise.all(requests.map((request) => fixture.crashUnder(request, ['w1'])));
   t.equal(fixture.probes, 1);
   await eventually(() => fixture.reports.length > 0);
-  t.equal(fixture.reports.length, 1, 'and one report names all of them');
+  t.equal(fixture.reports.length, 1, 'one report for all requests');
   t.equal(fixture.reports[0]?.requests.length, 4);
 });
 
-t.test('what another worker answers soon is told to nobody', async (t) => {
+t.test('a request that another worker answers before the report is not reported', async (t) => {
   const fixture = new Fixture();
   const [answered, unanswered] = [requestTo('/a'), requestTo('/b')];
   await fixture.crashUnder(answered, ['w1']);
@@ -115,7 +118,7 @@
   t.same(fixture.acquittals, []);
 });
 
-t.test('an answer after the report takes it back everywhere', async (t) => {
+t.test('an answer after the report withdraws it at all nodes', async (t) => {
   const fixture = new Fixture();
   const request = requestTo('/x');
   await fixture.crashUnder(request, ['w1', 'w2']);
@@ -128,7 +131,7 @@
 });
 
 t.test(
-  'what one node alone sends is told with its second end, and the first with it',
+  'crashes under a request that only one node sends are reported from the second on',
   async (t) => {
     const fixture = new Fixture();
     const request = requestTo('/x');
@@ -142,7 +145,7 @@
 );
 
 t.test(
-  'a request that was given up is looked into where something speaks against it',
+  'the worker of a cancelled request is probed only if there is evidence against the request',
   async (t) => {
     const fixture = new Fixture();
     const request = requestTo('/x');
@@ -159,7 +162,7 @@
   },
 );
 
-t.test('evidence grows old, and the refusal tells when', async (t) => {
+t.test('evidence expires at the time given by retryAfter', async (t) => {
   const fixture = new Fixture();
   const request = requestTo('/x');
   await fixture.crashUnder(request, ['w1']);
@@ -172,17 +175,17 @@
   t.equal(fixture.quarantine.crashesUnder(request).length, 2);
 });
 
-t.test('a request of which nothing is known costs no pass over its body', async (t) => {
+t.test('a request without evidence is not hashed', async (t) => {
   const fixture = new Fixture();
   const request = new FingerprintedRequest(() => {
-    throw new Error('worked out');
+    throw new Error('the fingerprint was computed');
   });
   t.ok(fixture.quarantine.admits(request));
   t.equal(fixture.quarantine.refusalOf(request), undefined);
   fixture.quarantine.noteAnswered(request);
 });
 
-t.test('200,000 ends of workers leave 20,000 requests in memory', async (t) => {
+t.test('after 200,000 reported requests evidence against 20,000 is stored', async (t) => {
   const fixture = new Fixture();
   for (let index = 0; index < 200_000; index += 1) {
     fixture.quarantine.applyReport({ worker: 'w1', requests: [`request-${index}`] }, 0);
@@ -193,7 +196,7 @@
   t.equal(fixture.quarantine.crashesUnder(oldest).length, 0);
 });
 
-t.test('three lives of one worker that end under a request count as three', async (t) => {
+t.test('crashes of three incarnations of one worker count as three', async (t) => {
   const fixture = new Fixture();
   const request = requestTo('/x');
   for (const startedAt of [1_000, 2_000, 3_000]) {
--- a/test/serving/route-matcher.test.ts
+++ b/test/serving/route-matcher.test.ts
@@ -16,18 +16,18 @@
   t.equal(matcher.match('other.example', '/a/b/c/d')?.name, 'elsewhere');
 });
 
-t.test('host names are compared without case and port', async (t) => {
+t.test('host names match regardless of case and port', async (t) => {
   const matcher = matcherOf(route({ name: 'only' }));
   t.equal(matcher.match('SITE.example:8080', '/a/')?.name, 'only');
 });
 
-t.test('no route for another host, or for a path that only shares letters', async (t) => {
+t.test('another host, or a path that only shares leading letters, matches no route', async (t) => {
   const matcher = matcherOf(route({ pathPrefix: '/ab/' }));
   t.equal(matcher.match('none.example', '/ab/'), undefined);
   t.equal(matcher.match('site.example', '/abc'), undefined);
 });
 
-t.test('targets get their shares exactly over a run of picks', async (t) => {
+t.test('targets get their exact shares over a cycle of picks', async (t) => {
   const targets: RouteTarget[] = [
     { service: 'one', weight: 90 },
     { service: 'two', weight: 10 },
@@ -46,7 +46,7 @@
   ]);
 });
 
-t.test('a route without targets leads nowhere', async (t) => {
+t.test('a route without targets has no next service', async (t) => {
   const empty = route({ targets: [] });
   t.equal(matcherOf(empty).nextService(empty), undefined);
 });
--- a/test/serving/serving-fixtures.ts
+++ b/test/serving/serving-fixtures.ts
@@ -1,4 +1,4 @@
-/** Routes, workers, requests and a scripted engine for tests. */
+/** Routes, workers, requests, answers and a scripted engine for tests. */
 import { Readable } from 'node:stream';
 import type { Failure } from '../../src/errors/error-kinds.js';
 import type { AnswerSink, CallerRequest } from '../../src/serving/answer-sink.js';
@@ -87,7 +87,7 @@
   };
 }
 
-/** An answer with a whole body. */
+/** An answer with a complete body. */
 export function answer(body: string, fields: Partial<EngineAnswer> = {}): EngineAnswer {
   return {
     kind: 'answered',
@@ -103,7 +103,7 @@
   };
 }
 
-/** An answer whose body breaks off after some bytes. */
+/** An answer whose connection breaks after some bytes of the body. */
 export function brokenAnswer(body: string, fields: Partial<EngineAnswer> = {}): EngineAnswer {
   const pieces = async function* (): AsyncGenerator<Buffer> {
     yield Buffer.from(body);
@@ -130,10 +130,10 @@
   cause: 'refused-connection',
 };
 
-/** What a worker does with a request; `hang` waits until it is cancelled. */
+/** Reaction of a worker to a request; `hang` waits until the request is cancelled. */
 export type Script = EngineOutcome | 'hang';
 
-/** An engine whose outcomes are given one after the other. */
+/** An engine that returns the given outcomes in order, then hangs. */
 export class ScriptedEngine implements EnginePort {
   readonly requests: EngineRequest[] = [];
   readonly orders: WeightOrder[] = [];
@@ -156,7 +156,7 @@
       if (script === 'hang') return;
       setImmediate(() => {
         signal.removeEventListener('abort', cancel);
-        // As at a real worker, ending the request breaks its answer off.
+        // As with a real worker, cancelling the request aborts its answer.
         const abortAnswer = (): void => {
           if (script.kind === 'answered') script.body.destroy(new Error('cancelled'));
         };
@@ -188,7 +188,7 @@
   }
 }
 
-/** A quarantine of a node that is alone; all workers live unless it is told otherwise. */
+/** Quarantine of a node without peers; probes find every worker alive by default. */
 export function quarantine(
   probeLiveness: (worker: WorkerRecord) => Promise<WorkerLiveness> = async () => 'lives',
 ): RequestQuarantine {
@@ -202,7 +202,7 @@
   });
 }
 
-/** A sink that keeps what it was given. */
+/** A sink that records the answer. */
 export class RecordingSink implements AnswerSink {
   status: number | undefined;
   headers: HeaderList = [];
@@ -234,7 +234,7 @@
   }
 }
 
-/** A log that keeps its lines. */
+/** A log that records its lines. */
 export function recordingLog(): { readonly log: DecisionLog; readonly lines: string[] } {
   const lines: string[] = [];
   const destination = { write: (line: string) => void lines.push(line) };
--- a/test/serving/suspension-meter.test.ts
+++ b/test/serving/suspension-meter.test.ts
@@ -2,7 +2,7 @@
 import { PROCESS_CLOCK } from '../../src/serving/clock.js';
 import { SuspensionMeter } from '../../src/serving/suspension-meter.js';
 
-/** Two clocks that a test moves. */
+/** Two manual clocks. */
 class Clocks {
   steady = 1_000;
   wall = 1_700_000_000_000;
@@ -17,17 +17,17 @@
   }
 }
 
-t.test('a machine that runs was not suspended', async (t) => {
+t.test('clock slewing and rounding do not count as suspensions', async (t) => {
   const clocks = new Clocks();
   for (let turn = 0; turn < 100; turn += 1) {
     clocks.run(700);
-    // Read in whole milliseconds, and adjusted a little all the time.
+    // Rounding to whole milliseconds and slewing move the time of day by up to 1 ms.
     clocks.wall += turn % 2;
     t.equal(clocks.meter.read(), 0);
   }
 });
 
-t.test('what the steady clock lacks counts, each time once', async (t) => {
+t.test('each suspension counts once', async (t) => {
   const clocks = new Clocks();
   clocks.run(500);
   clocks.wall += 3_000;
@@ -38,17 +38,17 @@
   t.equal(clocks.meter.read(), 4_200);
 });
 
-t.test('a time of day that is put back, or forward again, never takes anything away', async (t) => {
+t.test('setting the time of day back never decreases the total', async (t) => {
   const clocks = new Clocks();
   clocks.wall -= 2_000;
   t.equal(clocks.meter.read(), 0);
   clocks.wall += 2_000;
-  t.equal(clocks.meter.read(), 2_000, 'the same as a suspension');
+  t.equal(clocks.meter.read(), 2_000, 'indistinguishable from a suspension');
   clocks.wall -= 2_000;
   t.equal(clocks.meter.read(), 2_000);
 });
 
-t.test('reading it costs less than a microsecond of a fast core, five of a slow one', async (t) => {
+t.test('a reading takes less than 5 microseconds', async (t) => {
   const reads = 100_000;
   const startedAt = performance.now();
   for (let read = 0; read < reads; read += 1) PROCESS_CLOCK.suspendedTime();
--- a/test/serving/worker-incarnation.test.ts
+++ b/test/serving/worker-incarnation.test.ts
@@ -1,14 +1,10 @@
-/**
- * A worker may start again under the id that it had, and then holds and knows nothing of before.
- * Seen by reading: its record replaced the one of its earlier life, and what was known of that
- * (versions shown, penalties, pace, load, a group's prompt) went on to count for the new life.
- */
+/** State of an earlier incarnation (versions, penalties, load) is applied to a restarted worker. */
 import t from 'tap';
 import { workerIncarnationOf } from '../../src/serving/worker-incarnation.js';
 import { WorkerRegistry } from '../../src/serving/worker-registry.js';
 import { worker } from './serving-fixtures.js';
 
-t.test('a later life under the same id begins as a new worker', async (t) => {
+t.test('a later incarnation under the same id starts as a new worker', async (t) => {
   const registry = new WorkerRegistry();
   t.equal(registry.put(worker('w1', { startedAt: 1_000 })), 'added');
   const before = registry.get('w1');
@@ -26,14 +22,14 @@
   t.same(registry.available('service'), [after]);
 });
 
-t.test('a record of the earlier life that comes late changes nothing', async (t) => {
+t.test('a late record of an earlier incarnation is ignored', async (t) => {
   const registry = new WorkerRegistry();
   registry.put(worker('w1', { startedAt: 2_000 }));
   t.equal(registry.put(worker('w1', { startedAt: 1_000, draining: true })), 'outdated');
   t.equal(registry.available('service').length, 1);
 });
 
-t.test('a worker that does not tell its start keeps what is known of it', async (t) => {
+t.test('a worker that does not report its start keeps its state', async (t) => {
   const registry = new WorkerRegistry();
   registry.put(worker('w1'));
   const before = registry.get('w1');
@@ -42,7 +38,7 @@
   t.equal(registry.get('w1'), before);
 });
 
-t.test('lives under one id have names of their own', async (t) => {
+t.test('incarnations under one worker id have distinct ids', async (t) => {
   t.equal(workerIncarnationOf(worker('w1')), 'w1');
   const names = [1_000, 2_000].map((startedAt) => workerIncarnationOf(worker('w1', { startedAt })));
   t.equal(new Set([...names, 'w1']).size, 3);
--- a/test/serving/worker-registry.test.ts
+++ b/test/serving/worker-registry.test.ts
@@ -2,7 +2,7 @@
 import { KnownWorker } from '../../src/serving/worker-registry.js';
 import { worker } from './serving-fixtures.js';
 
-/** Time for which a worker is passed over after a refusal at a moment. */
+/** Duration of the penalty after a rejection at `now`. */
 function penaltyOf(known: KnownWorker, now: number): number {
   known.noteOutcome('full', now);
   let duration = 0;
@@ -10,13 +10,13 @@
   return duration;
 }
 
-t.test('a worker that goes on refusing is passed over for longer each time', async (t) => {
+t.test('consecutive rejections double the penalty up to the maximum', async (t) => {
   const known = new KnownWorker(worker('w1'));
   const penalties = [0, 1_000, 2_000, 3_000, 4_000].map((now) => penaltyOf(known, now));
   t.same(penalties, [100, 200, 400, 800, 800]);
 });
 
-t.test('requests that are refused together count once, and an answer forgives', async (t) => {
+t.test('simultaneous rejections count once, and an answer clears the penalty', async (t) => {
   const known = new KnownWorker(worker('w1'));
   for (let request = 0; request < 8; request += 1) known.noteOutcome('full', 50);
   t.notOk(known.isPenalized(150));
