--- a/lab/proofs/durable-jobs/job-world.ts
+++ b/lab/proofs/durable-jobs/job-world.ts
@@ -249,7 +249,7 @@
   private reviveSuperseded(): void {
     for (const { name, life, service } of this.nodes) {
       for (const lost of [...service.ownedJobs(), ...this.revived.values()]) {
-        if (lost.ending !== 'superseded' || lost.head === undefined) continue;
+        if (lost.closeReason !== 'superseded' || lost.head === undefined) continue;
         const rule = { minVersion: 1, singleVersion: false };
         const self = { node: name, incarnation: `life-${life}`, address: name };
         const store = new JobStore(this.store, this.clock);
--- a/src/fleet/gateway-node.ts
+++ b/src/fleet/gateway-node.ts
@@ -438,7 +438,7 @@
     metrics.set('live_nodes', this.liveNodes);
     metrics.set('known_workers', this.registry.all().length);
     metrics.set('open_jobs', this.jobs.ownedJobs().filter((job) => job.isOpen).length);
-    metrics.set('running_items', this.dispatcher.running);
+    metrics.set('running_items', this.dispatcher.runCount);
     metrics.set('is_coordinator', this.coordination.isActive ? 1 : 0);
     log.state('counters', metrics.snapshot());
   }
--- a/src/jobs/item-dispatcher.ts
+++ b/src/jobs/item-dispatcher.ts
@@ -1,4 +1,4 @@
-/** Dispatches items of the jobs that this node owns to workers and handles the outcomes of their runs. */
+/** Dispatches items of owned jobs to workers and handles the outcomes of their runs. */
 
 import type { Milliseconds } from '../core/units.js';
 import type { AllowedRegions } from '../placement/allowed-regions.js';
@@ -15,7 +15,7 @@
 import { cancelWork, type OwnedItem } from './owned-item.js';
 import type { OwnedJob } from './owned-job.js';
 import { PlacementRound } from './placement-round.js';
-import { describeRun, RunMover } from './run-mover.js';
+import { describeRun, RunMigrator } from './run-migrator.js';
 
 /** Options of {@link ItemDispatcher}. */
 export interface ItemDispatcherOptions extends SendingOptions {
@@ -31,25 +31,25 @@
 }
 
 /** Idle timeouts of a run. A worker may pause its streams for a second while it loads weights. */
-const SILENCE = { beforeFirst: 2_500, betweenEvents: 2_000 } as const;
+const IDLE_TIMEOUTS = { beforeFirst: 2_500, betweenEvents: 2_000 } as const;
 
 /** Added to the route's queue limit before items are terminated, since machine clocks differ. */
-const GIVE_UP_MARGIN: Milliseconds = 10_000;
+const EXPIRY_MARGIN: Milliseconds = 10_000;
 
 /** Delay before an item is retried after an interrupted run. */
-const RETRY_PAUSE: Milliseconds = 40;
+const RETRY_DELAY: Milliseconds = 40;
 /** Short, because the worker that rejected the item is skipped and another one is tried. */
-const FULL_PAUSE: Milliseconds = 10;
-const FAILED_ATTEMPT_PAUSE: Milliseconds = 100;
+const REJECTION_RETRY_DELAY: Milliseconds = 10;
+const FAILED_ATTEMPT_RETRY_DELAY: Milliseconds = 100;
 
 /**
  * Delay between runs of an item once its runs have crashed as many workers as one request may
  * crash. Below 5 s, because an item of an open step must not go that long without a run.
  */
-const SUSPECT_PAUSE: Milliseconds = 4_500;
+const CRASH_RETRY_DELAY: Milliseconds = 4_500;
 
 /** Worker crashes after which an item is never sent again. */
-const MOST_ENDED_UNDER_ITEM = 2 * MAX_CRASHED_WORKERS;
+const MAX_CRASHES_PER_ITEM = 2 * MAX_CRASHED_WORKERS;
 
 /** Dispatches items to workers, moves slow runs and requests scores. */
 export class ItemDispatcher {
@@ -58,15 +58,15 @@
   private readonly promptWorkers = new Map<string, KnownWorker>();
   private readonly runContext: ItemRunContext;
   private readonly scorer: ItemScorer;
-  private readonly mover: RunMover;
+  private readonly migrator: RunMigrator;
   private isScheduled = false;
   private isStopped = false;
 
   constructor(private readonly options: ItemDispatcherOptions) {
     const { engine, clock, versionField } = options;
-    this.runContext = { engine, clock, versionField, silence: SILENCE };
-    this.mover = new RunMover(options);
-    this.scorer = new ItemScorer({ ...options, ended: () => this.schedule() });
+    this.runContext = { engine, clock, versionField, idleTimeouts: IDLE_TIMEOUTS };
+    this.migrator = new RunMigrator(options);
+    this.scorer = new ItemScorer({ ...options, onCallEnded: () => this.schedule() });
   }
 
   /** Registers a job and schedules dispatching of its items. */
@@ -91,7 +91,7 @@
   }
 
   /** Number of runs in progress. */
-  get running(): number {
+  get runCount(): number {
     let count = 0;
     for (const job of this.jobs) {
       for (const entry of job.items.values()) if (entry.run !== undefined) count += 1;
@@ -102,8 +102,8 @@
   /** Periodic work: terminates expired items, moves runs and dispatches waiting items. */
   tick(): void {
     this.dropClosedJobs();
-    for (const job of this.jobs) this.giveUpExpired(job);
-    this.mover.moveRuns(this.jobs);
+    for (const job of this.jobs) this.terminateExpired(job);
+    this.migrator.migrateRuns(this.jobs);
     this.dispatch();
   }
 
@@ -122,14 +122,14 @@
     if (routes === undefined || this.isStopped) return;
     const now = this.options.clock.now();
     const rounds = new Map<ServiceName, PlacementRound>();
-    const inOrder = [...this.jobs].sort((a, b) => a.spec.submittedAt - b.spec.submittedAt);
-    for (const job of inOrder) {
-      if (!job.isOpen || (job.isDoubtful && !this.options.isStoreUnreachable())) continue;
+    const jobsByAge = [...this.jobs].sort((a, b) => a.spec.submittedAt - b.spec.submittedAt);
+    for (const job of jobsByAge) {
+      if (!job.isOpen || (job.isUnconfirmed && !this.options.isStoreUnreachable())) continue;
       const waiting = job.waiting(now);
       waiting.sort(byUrgency);
       for (const entry of waiting) this.start(job, entry, routes, rounds, now);
     }
-    this.scorer.dispatch(inOrder, routes);
+    this.scorer.dispatch(jobsByAge, routes);
   }
 
   private start(
@@ -142,8 +142,8 @@
     const route = routes.match(job.spec.host, entry.item.path);
     const service = route === undefined ? undefined : routes.nextService(route);
     if (route === undefined || service === undefined) return;
-    if (this.isHeldBack(entry, now)) return;
-    const round = rounds.get(service) ?? this.beginRound(service, now);
+    if (this.isDeferred(entry, now)) return;
+    const round = rounds.get(service) ?? this.startRound(service, now);
     rounds.set(service, round);
     const groupKey = `${job.spec.id}/${entry.item.group}`;
     const allowed = routes.allowedRegions(route, job.spec.tenant);
@@ -154,9 +154,9 @@
     void this.run(job, entry, route, worker, allowed);
   }
 
-  private beginRound(service: ServiceName, now: Milliseconds): PlacementRound {
-    const { registry, distanceCost: wayCost } = this.options;
-    return new PlacementRound(registry.available(service), now, wayCost, registry.rules);
+  private startRound(service: ServiceName, now: Milliseconds): PlacementRound {
+    const { registry, distanceCost } = this.options;
+    return new PlacementRound(registry.available(service), now, distanceCost, registry.rules);
   }
 
   /** The worker that cached a group's prompt; `undefined` if that worker has restarted since. */
@@ -199,21 +199,21 @@
     entry.run = undefined;
     entry.wasUnanswered = !run.hasBegun && (end === 'cancelled' || end === 'interrupted');
     if (entry.state === 'running') entry.state = 'waiting';
-    if (run.wasBroken) void quarantine.noteBroken(worker.record, entry.asked, 'this-node');
-    else if (end === 'completed') quarantine.noteAnswered(entry.asked);
-    this.takeEnd(job, entry, route, worker, end);
+    if (run.wasBroken) void quarantine.noteBroken(worker.record, entry.fingerprinted, 'this-node');
+    else if (end === 'completed') quarantine.noteAnswered(entry.fingerprinted);
+    this.handleRunEnd(job, entry, route, worker, end);
     this.schedule();
   }
 
   /** Whether an item is delayed or excluded from dispatch because its runs crashed workers. */
-  private isHeldBack(entry: OwnedItem, now: Milliseconds): boolean {
-    const ends = this.options.quarantine.crashesUnder(entry.asked);
-    if (ends.length < MAX_CRASHED_WORKERS) return false;
-    if (ends.length >= MOST_ENDED_UNDER_ITEM) return true;
-    return now - (ends.at(-1)?.at ?? now) < SUSPECT_PAUSE;
+  private isDeferred(entry: OwnedItem, now: Milliseconds): boolean {
+    const crashes = this.options.quarantine.crashesUnder(entry.fingerprinted);
+    if (crashes.length < MAX_CRASHED_WORKERS) return false;
+    if (crashes.length >= MAX_CRASHES_PER_ITEM) return true;
+    return now - (crashes.at(-1)?.at ?? now) < CRASH_RETRY_DELAY;
   }
 
-  private takeEnd(
+  private handleRunEnd(
     job: OwnedJob,
     entry: OwnedItem,
     route: Route,
@@ -221,9 +221,9 @@
     end: ItemRunEnd,
   ): void {
     const now = this.options.clock.now();
-    this.noteWorker(worker, end, now);
+    this.recordOutcome(worker, end, now);
     this.options.metrics.count('item_runs', { end });
-    entry.notBefore = now + pauseAfter(end);
+    entry.notBefore = now + retryDelayAfter(end);
     if (end === 'completed') {
       job.completeText(entry);
       const age = ageOf(job.spec, this.options.clock.wallTime());
@@ -240,17 +240,17 @@
     job.advance();
   }
 
-  private noteWorker(worker: KnownWorker, end: ItemRunEnd, now: Milliseconds): void {
+  private recordOutcome(worker: KnownWorker, end: ItemRunEnd, now: Milliseconds): void {
     if (end === 'completed') worker.noteOutcome('success', now);
     else if (end === 'full') worker.noteOutcome('full', now);
     else if (end === 'gone' || end === 'interrupted') worker.noteOutcome('failure', now);
   }
 
-  private giveUpExpired(job: OwnedJob): void {
+  private terminateExpired(job: OwnedJob): void {
     const route = this.options.routes()?.match(job.spec.host, job.spec.path);
     if (route === undefined || !job.isOpen) return;
     const age = ageOf(job.spec, this.options.clock.wallTime());
-    if (age < route.maxQueue + GIVE_UP_MARGIN) return;
+    if (age < route.maxQueue + EXPIRY_MARGIN) return;
     for (const entry of job.items.values()) {
       cancelWork(entry);
       job.finish(entry, entry.progress.toTerminated(entry.item.id));
@@ -261,12 +261,12 @@
 
 /** Orders items that already have events first, then by descending expected length. */
 function byUrgency(left: OwnedItem, right: OwnedItem): number {
-  const begun = Number(right.progress.eventCount > 0) - Number(left.progress.eventCount > 0);
-  return begun === 0 ? right.item.expectedLength - left.item.expectedLength : begun;
+  const startedFirst = Number(right.progress.eventCount > 0) - Number(left.progress.eventCount > 0);
+  return startedFirst === 0 ? right.item.expectedLength - left.item.expectedLength : startedFirst;
 }
 
-function pauseAfter(end: ItemRunEnd): Milliseconds {
-  if (end === 'full') return FULL_PAUSE;
-  if (end === 'attempt-failed') return FAILED_ATTEMPT_PAUSE;
-  return end === 'cancelled' ? 0 : RETRY_PAUSE;
+function retryDelayAfter(end: ItemRunEnd): Milliseconds {
+  if (end === 'full') return REJECTION_RETRY_DELAY;
+  if (end === 'attempt-failed') return FAILED_ATTEMPT_RETRY_DELAY;
+  return end === 'cancelled' ? 0 : RETRY_DELAY;
 }
--- a/src/jobs/item-placement.ts
+++ b/src/jobs/item-placement.ts
@@ -25,20 +25,20 @@
  * Bounds of the length weight. The event interval is weighted by the item's expected length, because
  * a slow worker delays long items most; the weight is bounded because lengths are rough estimates.
  */
-const LEAST_LENGTH_WEIGHT = 0.25;
-const LARGEST_LENGTH_WEIGHT = 4;
+const MIN_LENGTH_WEIGHT = 0.25;
+const MAX_LENGTH_WEIGHT = 4;
 
 /** Minimum relative length of a resumed item, because mostly long items are interrupted. */
-const RESUMED_LENGTH = 3;
+const MIN_RESUMED_LENGTH = 3;
 
 /** Score reduction for the worker that has cached the group's shared prompt. */
-const SHARED_PROMPT_GAIN = 0.15;
+const SHARED_PROMPT_BONUS = 0.15;
 
 /** Ratio of a worker's event interval to the median above which the worker counts as slow. */
-const SLOW_PACE_RATIO = 1.7;
+const SLOW_INTERVAL_RATIO = 1.7;
 
 /** Minimum ratio of two workers' event intervals for one to count as faster. */
-const FASTER_PACE_RATIO = 1.15;
+const FASTER_INTERVAL_RATIO = 1.15;
 
 /** Requirements of the next run of an item. */
 export function needsOf(
@@ -47,8 +47,9 @@
   allowedRegions: AllowedRegions,
 ): ItemNeeds {
   const { model, minVersion } = job.spec;
-  const guess = item.expectedLength / job.meanExpectedLength;
-  const relativeLength = progress.eventCount > 0 ? Math.max(RESUMED_LENGTH, guess) : guess;
+  const estimate = item.expectedLength / job.meanExpectedLength;
+  const relativeLength =
+    progress.eventCount > 0 ? Math.max(MIN_RESUMED_LENGTH, estimate) : estimate;
   const { boundVersion } = progress;
   return { model, minVersion, relativeLength, boundVersion, allowedRegions };
 }
@@ -62,21 +63,23 @@
 }
 
 /** Median event interval of the workers with a measured one; 1 if there are none. */
-export function medianPace(workers: readonly KnownWorker[]): Milliseconds {
-  const paces = workers.map((worker) => worker.eventInterval).filter((pace) => pace !== undefined);
-  paces.sort((left, right) => left - right);
-  return paces[Math.floor(paces.length / 2)] ?? 1;
+export function medianEventInterval(workers: readonly KnownWorker[]): Milliseconds {
+  const intervals = workers
+    .map((worker) => worker.eventInterval)
+    .filter((interval) => interval !== undefined);
+  intervals.sort((left, right) => left - right);
+  return intervals[Math.floor(intervals.length / 2)] ?? 1;
 }
 
 /** Whether a worker generates events much more slowly than the median. */
 export function isSlow(worker: KnownWorker, median: Milliseconds): boolean {
-  return worker.eventInterval !== undefined && worker.eventInterval > SLOW_PACE_RATIO * median;
+  return worker.eventInterval !== undefined && worker.eventInterval > SLOW_INTERVAL_RATIO * median;
 }
 
 /** Whether a worker is enough faster than another to justify moving a long run to it. */
 export function isFaster(worker: KnownWorker, than: KnownWorker): boolean {
   if (worker.eventInterval === undefined || than.eventInterval === undefined) return false;
-  return worker.eventInterval * FASTER_PACE_RATIO <= than.eventInterval;
+  return worker.eventInterval * FASTER_INTERVAL_RATIO <= than.eventInterval;
 }
 
 /** Returns the scoring function of an item; the worker with the lowest score suits it best. */
@@ -87,13 +90,13 @@
   now: Milliseconds,
 ): (worker: KnownWorker) => number {
   const lengthWeight = Math.min(
-    LARGEST_LENGTH_WEIGHT,
-    Math.max(LEAST_LENGTH_WEIGHT, needs.relativeLength),
+    MAX_LENGTH_WEIGHT,
+    Math.max(MIN_LENGTH_WEIGHT, needs.relativeLength),
   );
   return (worker) => {
-    const pace = (worker.eventInterval ?? median) / median;
+    const relativeInterval = (worker.eventInterval ?? median) / median;
     const occupied = worker.occupancy(now) / worker.record.slots;
-    const shared = worker.record.id === sharedPromptWorker ? SHARED_PROMPT_GAIN : 0;
-    return lengthWeight * pace + OCCUPANCY_WEIGHT * occupied - shared;
+    const promptBonus = worker.record.id === sharedPromptWorker ? SHARED_PROMPT_BONUS : 0;
+    return lengthWeight * relativeInterval + OCCUPANCY_WEIGHT * occupied - promptBonus;
   };
 }
--- a/src/jobs/item-progress.ts
+++ b/src/jobs/item-progress.ts
@@ -4,10 +4,10 @@
 import type { JobResult, StoredProgress } from './job-records.js';
 
 /** Progress of an item as it is stored and sent to other nodes. */
-export type KeptItem = StoredProgress[string];
+export type StoredItemProgress = StoredProgress[string];
 
 /** Outcome of adding an event. */
-export type EventVerdict = 'added' | 'out-of-order' | 'version-too-old' | 'version-mixed';
+export type AddOutcome = 'added' | 'out-of-order' | 'version-too-old' | 'version-mixed';
 
 /** Weight versions that may generate an item's text. */
 export interface VersionRule {
@@ -28,18 +28,18 @@
   private lastId: number | undefined;
   private readonly versions = new Set<WeightVersion>();
   private currentVersion: WeightVersion | undefined;
-  private isTextWhole = false;
+  private isTextComplete = false;
 
   constructor(private readonly rule: VersionRule) {}
 
   /** Restores stored progress if its versions satisfy the rule; returns whether it did. */
-  restore(kept: KeptItem): boolean {
-    if (!fitsVersions(kept.versions, this.rule) || kept.events.length === 0) return false;
-    this.events = [...kept.events];
-    this.lastId = kept.lastEventId;
+  restore(stored: StoredItemProgress): boolean {
+    if (!fitsVersions(stored.versions, this.rule) || stored.events.length === 0) return false;
+    this.events = [...stored.events];
+    this.lastId = stored.lastEventId;
     this.versions.clear();
-    for (const version of kept.versions) this.versions.add(version);
-    this.isTextWhole = kept.isWhole ?? false;
+    for (const version of stored.versions) this.versions.add(version);
+    this.isTextComplete = stored.isWhole ?? false;
     return true;
   }
 
@@ -49,13 +49,13 @@
   }
 
   /** Adds the next event of the current run. */
-  add(event: StreamEvent): EventVerdict {
+  add(event: StreamEvent): AddOutcome {
     if (event.id === undefined) return 'out-of-order';
     if (this.lastId !== undefined && event.id !== this.lastId + 1) return 'out-of-order';
     const version = event.weightVersion ?? this.currentVersion;
     if (version === undefined || version < this.rule.minVersion) return 'version-too-old';
-    const mixes = this.versions.size > 0 && !this.versions.has(version);
-    if (this.rule.singleVersion && mixes) return 'version-mixed';
+    const isOtherVersion = this.versions.size > 0 && !this.versions.has(version);
+    if (this.rule.singleVersion && isOtherVersion) return 'version-mixed';
     this.currentVersion = version;
     this.versions.add(version);
     this.lastId = event.id;
@@ -69,17 +69,17 @@
     this.lastId = undefined;
     this.versions.clear();
     this.currentVersion = undefined;
-    this.isTextWhole = false;
+    this.isTextComplete = false;
   }
 
   /** Marks the text as complete. */
-  markWhole(): void {
-    this.isTextWhole = true;
+  markComplete(): void {
+    this.isTextComplete = true;
   }
 
   /** Whether the text is complete. */
-  get isWhole(): boolean {
-    return this.isTextWhole;
+  get isComplete(): boolean {
+    return this.isTextComplete;
   }
 
   /** Id of the last event, or `undefined` before the first. */
@@ -109,13 +109,13 @@
   }
 
   /** The progress that another node needs to continue; `undefined` before the first event. */
-  toKept(): KeptItem | undefined {
+  toStored(): StoredItemProgress | undefined {
     if (this.lastId === undefined) return undefined;
-    const kept = {
+    const stored = {
       events: [...this.events],
       lastEventId: this.lastId,
       versions: [...this.versions],
     };
-    return this.isTextWhole ? { ...kept, isWhole: true } : kept;
+    return this.isTextComplete ? { ...stored, isWhole: true } : stored;
   }
 }
--- a/src/jobs/item-run.ts
+++ b/src/jobs/item-run.ts
@@ -28,7 +28,7 @@
   | 'cancelled';
 
 /** Idle timeouts after which a run is aborted: before the first byte, and between chunks. */
-export interface SilenceLimits {
+export interface IdleTimeouts {
   readonly beforeFirst: Milliseconds;
   readonly betweenEvents: Milliseconds;
 }
@@ -37,14 +37,14 @@
  * Pauses after which a run counts as stalled. A worker that loads weights pauses its streams for
  * most of a second, while resuming on another worker takes a few milliseconds.
  */
-const STALL = { beforeFirst: 600, betweenEvents: 300, paces: 5 } as const;
+const STALL = { beforeFirst: 600, betweenEvents: 300, intervals: 5 } as const;
 
 /** Dependencies and limits of a run. */
 export interface ItemRunContext {
   readonly engine: EnginePort;
   readonly clock: Clock;
   readonly versionField: string;
-  readonly silence: SilenceLimits;
+  readonly idleTimeouts: IdleTimeouts;
 }
 
 const OK = 200;
@@ -55,9 +55,9 @@
 export class ItemRun {
   private readonly abort = new AbortController();
   private readonly context: ItemRunContext;
-  private silenceTimer: NodeJS.Timeout | undefined;
-  private isSilent = false;
-  private heardAt: Milliseconds;
+  private idleTimer: NodeJS.Timeout | undefined;
+  private hasTimedOut = false;
+  private lastActivityAt: Milliseconds;
   private lastEventAt: Milliseconds | undefined;
   readonly startedAt: Milliseconds;
   /** Whether the connection broke, other than by cancellation from this node. */
@@ -72,7 +72,7 @@
   ) {
     this.context = context;
     this.startedAt = context.clock.now();
-    this.heardAt = this.startedAt;
+    this.lastActivityAt = this.startedAt;
   }
 
   /** Cancels the run; the worker drops the request when the connection closes. */
@@ -82,19 +82,19 @@
 
   /** Whether the stream has paused so long that resuming on another worker would be faster. */
   isStalled(now: Milliseconds): boolean {
-    const silence = now - this.heardAt;
-    if (!this.hasBegun) return silence > STALL.beforeFirst;
-    return silence > Math.max(STALL.betweenEvents, STALL.paces * (this.worker.eventInterval ?? 0));
+    const idle = now - this.lastActivityAt;
+    if (!this.hasBegun) return idle > STALL.beforeFirst;
+    return idle > Math.max(STALL.betweenEvents, STALL.intervals * (this.worker.eventInterval ?? 0));
   }
 
   /** Sends the request and reads its stream; never rejects. */
   async perform(request: EngineRequest): Promise<ItemRunEnd> {
-    this.watchSilence(this.context.silence.beforeFirst);
+    this.restartIdleTimer(this.context.idleTimeouts.beforeFirst);
     const outcome = await this.context.engine.send(request, this.abort.signal);
-    const end = outcome.kind === 'answered' ? await this.follow(outcome) : undefined;
-    clearTimeout(this.silenceTimer);
+    const end = outcome.kind === 'answered' ? await this.readAnswer(outcome) : undefined;
+    clearTimeout(this.idleTimer);
     if (this.abort.signal.aborted && end !== 'completed') {
-      return this.isSilent ? 'interrupted' : 'cancelled';
+      return this.hasTimedOut ? 'interrupted' : 'cancelled';
     }
     if (end !== undefined) return end;
     if (outcome.kind === 'not-run') return outcome.reason;
@@ -102,7 +102,7 @@
     return 'interrupted';
   }
 
-  private async follow(answer: EngineAnswer): Promise<ItemRunEnd> {
+  private async readAnswer(answer: EngineAnswer): Promise<ItemRunEnd> {
     this.worker.noteLoad(answer.load, this.context.clock.now());
     if (answer.status !== OK) {
       answer.discard();
@@ -119,24 +119,24 @@
     const reader = new EventStreamReader(this.context.versionField);
     let end: ItemRunEnd | undefined;
     const streamEnd = await readChunks(answer.body, (chunk) => {
-      this.noteHeard();
-      end = this.takeEvents(reader, chunk);
+      this.noteActivity();
+      end = this.addEvents(reader, chunk);
       return end === undefined;
     });
     if (end !== undefined) return end;
     this.wasBroken = streamEnd === 'broken' && !this.abort.signal.aborted;
-    const isWhole = !reader.hasPartialEvent() && this.progress.eventCount > 0;
-    return streamEnd === 'ended' && isWhole ? 'completed' : 'interrupted';
+    const isComplete = !reader.hasPartialEvent() && this.progress.eventCount > 0;
+    return streamEnd === 'ended' && isComplete ? 'completed' : 'interrupted';
   }
 
-  private noteHeard(): void {
-    this.watchSilence(this.context.silence.betweenEvents);
+  private noteActivity(): void {
+    this.restartIdleTimer(this.context.idleTimeouts.betweenEvents);
     this.hasBegun = true;
-    this.heardAt = this.context.clock.now();
+    this.lastActivityAt = this.context.clock.now();
   }
 
   /** Adds the events that a chunk completes; returns how the run ends if one is not acceptable. */
-  private takeEvents(reader: EventStreamReader, chunk: Buffer): ItemRunEnd | undefined {
+  private addEvents(reader: EventStreamReader, chunk: Buffer): ItemRunEnd | undefined {
     let events: readonly StreamEvent[];
     try {
       events = reader.push(chunk);
@@ -146,23 +146,23 @@
     }
     if (events.length === 0) return undefined;
     const previous = this.lastEventAt;
-    this.lastEventAt = this.heardAt;
+    this.lastEventAt = this.lastActivityAt;
     if (previous !== undefined) {
-      this.worker.noteEventInterval((this.heardAt - previous) / events.length);
+      this.worker.noteEventInterval((this.lastActivityAt - previous) / events.length);
     }
     for (const event of events) {
-      const verdict = this.progress.add(event);
-      if (verdict === 'version-too-old') return 'version-too-old';
-      if (verdict === 'version-mixed') this.progress.reset();
-      if (verdict !== 'added') return 'interrupted';
+      const outcome = this.progress.add(event);
+      if (outcome === 'version-too-old') return 'version-too-old';
+      if (outcome === 'version-mixed') this.progress.reset();
+      if (outcome !== 'added') return 'interrupted';
     }
     return undefined;
   }
 
-  private watchSilence(limit: Milliseconds): void {
-    clearTimeout(this.silenceTimer);
-    this.silenceTimer = setTimeout(() => {
-      this.isSilent = true;
+  private restartIdleTimer(limit: Milliseconds): void {
+    clearTimeout(this.idleTimer);
+    this.idleTimer = setTimeout(() => {
+      this.hasTimedOut = true;
       this.abort.abort();
     }, limit);
   }
--- a/src/jobs/item-scorer.ts
+++ b/src/jobs/item-scorer.ts
@@ -21,21 +21,21 @@
 /** Options of {@link ItemScorer}. */
 export interface ItemScorerOptions extends ItemDispatcherOptions {
   /** Called after a score call ends. */
-  readonly ended: () => void;
+  readonly onCallEnded: () => void;
 }
 
 /** Share of a worker's slots that score requests may fill. */
-const PLACES_SHARE = 0.75;
+const MAX_SLOT_SHARE = 0.75;
 
 /** Concurrent calls for one item. */
-const MOST_CALLS = 2;
+const MAX_CONCURRENT_CALLS = 2;
 
 /** Retry delays after a rejection and after a failure. */
-const FULL_PAUSE: Milliseconds = 60;
-const FAILURE_PAUSE: Milliseconds = 30;
+const REJECTION_RETRY_DELAY: Milliseconds = 60;
+const FAILURE_RETRY_DELAY: Milliseconds = 30;
 
 /** Minimum time budget that a score request gives its worker. */
-const LEAST_TIME: Milliseconds = 1_000;
+const MIN_TIME_BUDGET: Milliseconds = 1_000;
 
 const SERVER_ERROR = 500;
 
@@ -69,40 +69,41 @@
     const now = this.options.clock.now();
     entry.scoring ??= new ItemScoring(request);
     const { scoring } = entry;
-    if (scoring.notBefore > now || scoring.callsUnderWay >= MOST_CALLS) return;
+    if (scoring.notBefore > now || scoring.callCount >= MAX_CONCURRENT_CALLS) return;
     const route = routes.match(request.host, request.path);
     if (route === undefined) return;
     scoring.cancelOlderThan(now - route.timeout);
-    const isLate = now - scoring.lastSentAt > this.estimate(route).limit(route.timeout);
-    if (scoring.callsUnderWay > 0 && !isLate) return;
-    if (!this.options.quarantine.admits(scoring.asked, scoring.callsUnderWay)) return;
+    const isLate = now - scoring.lastSentAt > this.estimateFor(route).limit(route.timeout);
+    if (scoring.callCount > 0 && !isLate) return;
+    if (!this.options.quarantine.admits(scoring.fingerprinted, scoring.callCount)) return;
     const service = routes.nextService(route);
     const allowed = allowedRegionsOf(item, route, routes);
-    const worker = service === undefined ? undefined : this.choose(service, scoring, now, allowed);
-    if (worker !== undefined) void this.ask(item, scoring, route, worker, allowed);
+    const worker =
+      service === undefined ? undefined : this.selectWorker(service, scoring, now, allowed);
+    if (worker !== undefined) void this.startCall(item, scoring, route, worker, allowed);
   }
 
   /** Selects a worker below the slot share for scores, preferring one not tried before. */
-  private choose(
+  private selectWorker(
     service: ServiceName,
     scoring: ItemScoring,
     now: Milliseconds,
     allowed: AllowedRegions,
   ): KnownWorker | undefined {
     const { registry, zone } = this.options;
-    const hasRoom = (worker: KnownWorker): boolean =>
-      worker.occupancy(now) < Math.max(1, PLACES_SHARE * worker.record.slots);
-    const withRoom = (tried: ReadonlySet<string>): KnownWorker | undefined => {
+    const hasFreeSlot = (worker: KnownWorker): boolean =>
+      worker.occupancy(now) < Math.max(1, MAX_SLOT_SHARE * worker.record.slots);
+    const pickWithFreeSlot = (tried: ReadonlySet<string>): KnownWorker | undefined => {
       const worker = registry.pick(service, tried, zone, now, allowed);
-      if (worker === undefined || hasRoom(worker)) return worker;
-      const far = registry.pickInOtherRegion(service, tried, zone, now, allowed);
-      return far !== undefined && hasRoom(far) ? far : undefined;
+      if (worker === undefined || hasFreeSlot(worker)) return worker;
+      const remote = registry.pickInOtherRegion(service, tried, zone, now, allowed);
+      return remote !== undefined && hasFreeSlot(remote) ? remote : undefined;
     };
-    const fresh = withRoom(scoring.tried);
-    return fresh ?? (scoring.callsUnderWay === 0 ? withRoom(new Set()) : undefined);
+    const untried = pickWithFreeSlot(scoring.tried);
+    return untried ?? (scoring.callCount === 0 ? pickWithFreeSlot(new Set()) : undefined);
   }
 
-  private async ask(
+  private async startCall(
     item: UnscoredItem,
     scoring: ItemScoring,
     route: Route,
@@ -113,19 +114,19 @@
     const sentAt = clock.now();
     const call = scoring.begin(worker.record.id, sentAt);
     worker.inFlight += 1;
-    const outcome = await this.call(item, route, worker, allowed, call.signal);
+    const outcome = await this.sendRequest(item, route, worker, allowed, call.signal);
     worker.inFlight -= 1;
     scoring.end(call);
     metrics.count('score_calls', { outcome: outcome.kind });
     if (outcome.kind === 'broken')
-      void quarantine.noteBroken(worker.record, scoring.asked, 'this-node');
-    if (outcome.kind === 'scored') quarantine.noteAnswered(scoring.asked);
-    if (outcome.kind === 'scored') this.estimate(route).note(clock.now() - sentAt);
-    if (item.entry.scoring === scoring) this.take(item, scoring, route, outcome);
-    this.options.ended();
+      void quarantine.noteBroken(worker.record, scoring.fingerprinted, 'this-node');
+    if (outcome.kind === 'scored') quarantine.noteAnswered(scoring.fingerprinted);
+    if (outcome.kind === 'scored') this.estimateFor(route).note(clock.now() - sentAt);
+    if (item.entry.scoring === scoring) this.handleOutcome(item, scoring, route, outcome);
+    this.options.onCallEnded();
   }
 
-  private async call(
+  private async sendRequest(
     { job, request }: UnscoredItem,
     route: Route,
     worker: KnownWorker,
@@ -154,7 +155,7 @@
     }
     const read = await readOutcome(outcome);
     if (signal.aborted && read.kind !== 'scored') return { kind: 'cancelled' };
-    this.noteWorker(worker, outcome, read, clock.now());
+    this.recordOutcome(worker, outcome, read, clock.now());
     return read;
   }
 
@@ -162,10 +163,10 @@
   private timeLeft(job: OwnedJob): Milliseconds {
     const { spec } = job;
     const maxQueue = this.options.routes()?.match(spec.host, spec.path)?.maxQueue ?? 0;
-    return Math.max(LEAST_TIME, maxQueue - ageOf(spec, this.options.clock.wallTime()));
+    return Math.max(MIN_TIME_BUDGET, maxQueue - ageOf(spec, this.options.clock.wallTime()));
   }
 
-  private noteWorker(
+  private recordOutcome(
     worker: KnownWorker,
     outcome: EngineOutcome,
     read: ScoreOutcome,
@@ -177,7 +178,7 @@
     else if (read.kind === 'failed' || read.kind === 'broken') worker.noteOutcome('failure', now);
   }
 
-  private take(
+  private handleOutcome(
     { job, entry, request }: UnscoredItem,
     scoring: ItemScoring,
     route: Route,
@@ -194,7 +195,8 @@
       return;
     }
     const now = this.options.clock.now();
-    scoring.notBefore = now + (outcome.kind === 'refused' ? FULL_PAUSE : FAILURE_PAUSE);
+    scoring.notBefore =
+      now + (outcome.kind === 'refused' ? REJECTION_RETRY_DELAY : FAILURE_RETRY_DELAY);
     if (outcome.kind !== 'attempt-failed') return;
     scoring.failedAttempts += 1;
     this.options.log.decision('score-attempt-failed', {
@@ -207,7 +209,7 @@
     job.advance();
   }
 
-  private estimate(route: Route): LatencyEstimate {
+  private estimateFor(route: Route): LatencyEstimate {
     const known = this.estimates.get(route.name);
     if (known !== undefined) return known;
     const estimate = new LatencyEstimate(route.targetLatency);
@@ -246,11 +248,11 @@
 function unscoredItems(job: OwnedJob): UnscoredItem[] {
   const unscored = job.unscored();
   if (unscored.length === 0) return [];
-  const open = new Map<string, number>();
+  const openByGroup = new Map<string, number>();
   for (const { item, state } of job.items.values()) {
-    if (state !== 'done') open.set(item.group, (open.get(item.group) ?? 0) + 1);
+    if (state !== 'done') openByGroup.set(item.group, (openByGroup.get(item.group) ?? 0) + 1);
   }
-  const openInGroup = ({ item }: OwnedItem): number => open.get(item.group) ?? 0;
+  const openInGroup = ({ item }: OwnedItem): number => openByGroup.get(item.group) ?? 0;
   unscored.sort((left, right) => openInGroup(left) - openInGroup(right));
   return unscored.flatMap((entry) => {
     const { scoreRequest: request } = entry.item;
--- a/src/jobs/item-scoring.ts
+++ b/src/jobs/item-scoring.ts
@@ -12,11 +12,11 @@
   /** Earliest time of the next call. */
   notBefore: Milliseconds = 0;
   /** The request that the calls send, for crash attribution. */
-  readonly asked: FingerprintedRequest;
+  readonly fingerprinted: FingerprintedRequest;
   private readonly calls = new Map<AbortController, Milliseconds>();
 
   constructor({ host, path, body }: ScoreRequest) {
-    this.asked = new FingerprintedRequest(() => ({
+    this.fingerprinted = new FingerprintedRequest(() => ({
       method: 'POST',
       host,
       path,
@@ -26,7 +26,7 @@
   }
 
   /** Number of calls in progress. */
-  get callsUnderWay(): number {
+  get callCount(): number {
     return this.calls.size;
   }
 
--- a/src/jobs/item-work-cache.ts
+++ b/src/jobs/item-work-cache.ts
@@ -7,13 +7,13 @@
 import type { Milliseconds } from '../core/units.js';
 import type { JobOrigin } from '../placement/job-residency.js';
 import type { Clock } from '../serving/clock.js';
-import type { KeptItem } from './item-progress.js';
+import type { StoredItemProgress } from './item-progress.js';
 import type { JobItem, JobResult } from './job-records.js';
 import type { OwnedJob } from './owned-job.js';
 
 /** Progress or result of one item. */
 export type ItemWork =
-  | { readonly kind: 'unfinished'; readonly progress: KeptItem }
+  | { readonly kind: 'unfinished'; readonly progress: StoredItemProgress }
   | { readonly kind: 'finished'; readonly result: JobResult };
 
 /** Work on an item with digests of the requests that it answers. */
@@ -26,13 +26,13 @@
 }
 
 /** Time for which work is cached; a trainer resubmits a group with one of its next steps. */
-const KEEP_TIME: Milliseconds = 20_000;
+const RETENTION: Milliseconds = 20_000;
 
 /** Maximum number of cached items; the oldest are evicted first. */
-const MOST_ITEMS = 4_000;
+const MAX_ITEMS = 4_000;
 
 interface Entry extends DigestedWork {
-  readonly keptAt: Milliseconds;
+  readonly cachedAt: Milliseconds;
   /** Determines the regions that may store the work. */
   readonly origin: JobOrigin;
 }
@@ -44,58 +44,58 @@
   constructor(private readonly clock: Clock) {}
 
   /** Caches a closed job's work on groups that are not completed. */
-  keep(job: OwnedJob, origin: JobOrigin = {}): void {
+  add(job: OwnedJob, origin: JobOrigin = {}): void {
     const results = new Map(job.finishedResults().map((result) => [result.id, result]));
-    const progress = job.keptProgress();
+    const progress = job.unfinishedProgress();
     for (const group of groupsOf(job.spec.items)) {
       if (group.every((item) => results.has(item.id))) continue;
       for (const item of group) {
         const work = workOf(results.get(item.id), progress[item.id]);
-        if (work !== undefined) this.keepItem(item, work, origin);
+        if (work !== undefined) this.addItem(item, work, origin);
       }
     }
-    this.dropOld();
+    this.evictOld();
   }
 
   /** Finds work on an item; its request digest must match. */
   find(item: JobItem): ItemWork | undefined {
     const entry = this.findById(item.id);
-    return entry === undefined ? undefined : workFor(entry, item);
+    return entry === undefined ? undefined : reusableWork(entry, item);
   }
 
-  /** Finds work by item id for another node, if `mayTell` permits its origin. */
+  /** Finds work by item id for another node, if `mayReceive` permits its origin. */
   findById(
     id: string,
-    mayTell: (origin: JobOrigin) => boolean = () => true,
+    mayReceive: (origin: JobOrigin) => boolean = () => true,
   ): DigestedWork | undefined {
     const entry = this.entries.get(id);
-    if (entry === undefined || this.clock.now() - entry.keptAt > KEEP_TIME) return undefined;
-    if (!mayTell(entry.origin)) return undefined;
+    if (entry === undefined || this.clock.now() - entry.cachedAt > RETENTION) return undefined;
+    if (!mayReceive(entry.origin)) return undefined;
     const { work, digest, scoreDigest } = entry;
     return { work, digest, scoreDigest };
   }
 
-  private keepItem(item: JobItem, work: ItemWork, origin: JobOrigin): void {
+  private addItem(item: JobItem, work: ItemWork, origin: JobOrigin): void {
     this.entries.delete(item.id);
-    this.entries.set(item.id, { ...digested(work, item), keptAt: this.clock.now(), origin });
+    this.entries.set(item.id, { ...withDigests(work, item), cachedAt: this.clock.now(), origin });
   }
 
-  private dropOld(): void {
-    const limit = this.clock.now() - KEEP_TIME;
+  private evictOld(): void {
+    const limit = this.clock.now() - RETENTION;
     for (const [id, entry] of this.entries) {
-      if (entry.keptAt > limit && this.entries.size <= MOST_ITEMS) return;
+      if (entry.cachedAt > limit && this.entries.size <= MAX_ITEMS) return;
       this.entries.delete(id);
     }
   }
 }
 
 /** Adds the digests of the item's requests to work on it. */
-export function digested(work: ItemWork, item: JobItem): DigestedWork {
+export function withDigests(work: ItemWork, item: JobItem): DigestedWork {
   return { work, digest: digestOf(item), scoreDigest: scoreDigestOf(item) };
 }
 
 /** Number of events, to compare the progress of work; infinite for a complete text. */
-export function extentOf(work: ItemWork | undefined): number {
+export function eventCountOf(work: ItemWork | undefined): number {
   if (work === undefined) return 0;
   if (work.kind === 'finished' || work.progress.isWhole === true) return Number.POSITIVE_INFINITY;
   return work.progress.events.length;
@@ -105,21 +105,21 @@
  * The part of cached work that an item can reuse: nothing if the request differs; only the text, to
  * be scored again, if the score request differs.
  */
-export function workFor(kept: DigestedWork, item: JobItem): ItemWork | undefined {
-  if (kept.digest !== digestOf(item)) return undefined;
-  const { work } = kept;
-  if (work.kind === 'unfinished' || kept.scoreDigest === scoreDigestOf(item)) return work;
+export function reusableWork(cached: DigestedWork, item: JobItem): ItemWork | undefined {
+  if (cached.digest !== digestOf(item)) return undefined;
+  const { work } = cached;
+  if (work.kind === 'unfinished' || cached.scoreDigest === scoreDigestOf(item)) return work;
   return { kind: 'unfinished', progress: unscoredText(work.result) };
 }
 
 /** A complete text as progress; it is never resumed, so its event count does not matter. */
-function unscoredText({ text, versions }: JobResult): KeptItem {
+function unscoredText({ text, versions }: JobResult): StoredItemProgress {
   return { events: [text], lastEventId: 0, versions, isWhole: true };
 }
 
 function workOf(
   result: JobResult | undefined,
-  progress: KeptItem | undefined,
+  progress: StoredItemProgress | undefined,
 ): ItemWork | undefined {
   if (result?.state === 'completed') return { kind: 'finished', result };
   return progress === undefined ? undefined : { kind: 'unfinished', progress };
--- a/src/jobs/job-admission.ts
+++ b/src/jobs/job-admission.ts
@@ -5,8 +5,8 @@
 import type { JobPeers } from './job-peers.js';
 import type { JobReader } from './job-reader.js';
 import type { JobSpecification } from './job-records.js';
-import type { JobStore, StillWanted } from './job-store.js';
-import { belongsElsewhere, type JobSubmissions } from './job-submissions.js';
+import type { JobStore, StillNeeded } from './job-store.js';
+import { type JobSubmissions, tenantConflict } from './job-submissions.js';
 import { STORE_RETRY_AFTER } from './store-reads.js';
 
 /** Options of {@link JobAdmission}. */
@@ -20,20 +20,20 @@
 }
 
 /** Response to a rejected submission if another node may have accepted the job. */
-const MAY_BE_TAKEN = { kind: 'outcome_unknown', retryAfter: STORE_RETRY_AFTER } as const;
+const MAY_BE_ACCEPTED = { kind: 'outcome_unknown', retryAfter: STORE_RETRY_AFTER } as const;
 
 /** Admits submitted jobs. */
 export class JobAdmission {
   constructor(private readonly options: JobAdmissionOptions) {}
 
   /** Has a job accepted; `undefined` means that the job is durably stored. */
-  async submit(spec: JobSpecification, wanted: StillWanted): Promise<Failure | undefined> {
+  async submit(spec: JobSpecification, isStillNeeded: StillNeeded): Promise<Failure | undefined> {
     const { peers, submissions } = this.options;
     const path = await peers.submitElsewhere(spec);
     if (path.kind === 'answered') return path.failure;
-    if (path.kind === 'nowhere') return this.refuse(spec, path.failure);
-    const refusal = await submissions.submit(spec, wanted);
-    if (refusal === undefined || !path.mayRunElsewhere) return refusal;
+    if (path.kind === 'nowhere') return this.reject(spec, path.failure);
+    const rejection = await submissions.submit(spec, isStillNeeded);
+    if (rejection === undefined || !path.mayRunElsewhere) return rejection;
     return failure('outcome_unknown', 'another node may have stored the job');
   }
 
@@ -41,13 +41,13 @@
    * Response to a job that no eligible node accepts. The submission may repeat one that another node
    * accepted earlier, so the response says that the job has not run only if it is certainly absent.
    */
-  private async refuse(spec: JobSpecification, refusal: Failure): Promise<Failure | undefined> {
+  private async reject(spec: JobSpecification, rejection: Failure): Promise<Failure | undefined> {
     const { store, reader, log, metrics } = this.options;
     const read = await store.head(spec.id);
-    if (read.kind === 'found') return belongsElsewhere(spec, read.value.head.tenant);
-    const isAbsent = read.kind === 'absent' && (await reader.isSurelyAbsent(spec.id));
-    const answer = isAbsent ? refusal : { ...refusal, ...MAY_BE_TAKEN };
-    log.decision('job-refused', { job: spec.id, kind: answer.kind, detail: refusal.detail });
+    if (read.kind === 'found') return tenantConflict(spec, read.value.head.tenant);
+    const isAbsent = read.kind === 'absent' && (await reader.isCertainlyAbsent(spec.id));
+    const answer = isAbsent ? rejection : { ...rejection, ...MAY_BE_ACCEPTED };
+    log.decision('job-refused', { job: spec.id, kind: answer.kind, detail: rejection.detail });
     metrics.count('jobs_submitted', { outcome: answer.kind });
     return answer;
   }
--- a/src/jobs/job-listing.ts
+++ b/src/jobs/job-listing.ts
@@ -7,15 +7,15 @@
 import { type Clock, suspendAwareTime } from '../serving/clock.js';
 import { FleetMetrics } from '../telemetry/fleet-metrics.js';
 import type { JobOwner, JobResult, JobSpecification, StoredProgress } from './job-records.js';
-import type { HeadChange, JobStore, StillWanted, VersionedHead } from './job-store.js';
+import type { HeadChange, JobStore, StillNeeded, VersionedHead } from './job-store.js';
 import { JOURNAL_DELAY, type ListingChange, ListingWriter } from './listing-writer.js';
 import { firstPageOf } from './value-limits.js';
 
 /** Minimum interval between two pages of results while many items are open. */
-const LISTING_INTERVAL: Milliseconds = 350;
+const MIN_LISTING_INTERVAL: Milliseconds = 350;
 
 /** Minimum interval once the job is closing, when the trainer waits for the last groups. */
-const CLOSING_LISTING_INTERVAL: Milliseconds = 120;
+const MIN_CLOSING_LISTING_INTERVAL: Milliseconds = 120;
 
 /** Share of open items below which a job counts as closing. */
 const CLOSING_SHARE = 0.25;
@@ -24,17 +24,17 @@
 const VERIFY_INTERVAL: Milliseconds = 1_200;
 
 /** Minimum wait for a cancellation or release, in polls and the interval between them. */
-const LEAST_PATIENCE_STEPS = 10;
-const PATIENCE_STEP: Milliseconds = 50;
+const MIN_WAIT_POLLS = 10;
+const WAIT_POLL_INTERVAL: Milliseconds = 50;
 
 /**
  * Why this node no longer runs a job. `ended`: it was cancelled. `ended-elsewhere`: another node
  * cancelled it because this one could not reach the store; others may have listed more results.
  */
-export type OwnershipEnd = 'finished' | 'ended' | 'ended-elsewhere' | 'superseded' | 'released';
+export type CloseReason = 'finished' | 'ended' | 'ended-elsewhere' | 'superseded' | 'released';
 
 /** The state of a job in its zone's journal. */
-export interface JournaledWork {
+export interface JournalState {
   /** The journal, claimed by this owner; `undefined` if the job has none. */
   readonly journal?: JobJournal | undefined;
   /** Changes that an earlier owner journaled and the store lacks. */
@@ -49,7 +49,7 @@
   readonly head: VersionedHead | undefined;
   /** Results that the store already has. */
   readonly listed: readonly JobResult[];
-  readonly journaled: JournaledWork;
+  readonly journaled: JournalState;
   readonly self: JobOwner;
   readonly store: JobStore;
   readonly clock: Clock;
@@ -58,9 +58,9 @@
   /** Whether this node still runs the job. */
   readonly isOpen: () => boolean;
   /** Called when this node stops running the job. */
-  readonly close: (reason: OwnershipEnd) => void;
+  readonly close: (reason: CloseReason) => void;
   /** Called after an attempt to list results. */
-  readonly noteChanged: () => void;
+  readonly onListed: () => void;
 }
 
 /** Lists the results of one job. */
@@ -74,10 +74,10 @@
   /** By {@link suspendAwareTime}, because other nodes may act while this machine is suspended. */
   private confirmedAt: Milliseconds;
   /** Whether a cancellation is being stored, and whether it is stored. */
-  private isEnding = false;
-  private isEndKept = false;
+  private isCancelling = false;
+  private isCancellationStored = false;
   /** Whether the zone's journal has recorded the job's acceptance. */
-  private isKeptByJournal = false;
+  private isAcceptedByJournal = false;
   private queue: Promise<unknown> = Promise.resolve();
   private isInTurn = false;
 
@@ -88,9 +88,9 @@
       {
         ...{ job: spec.id, store, clock, journal, metrics },
         progress: options.progress,
-        isWanted: () => options.isOpen() || this.isEnding,
-        isOwnChange: (change) => this.isOwnChange(change),
-        noteHead: (change) => this.noteHead(change),
+        isStillNeeded: () => options.isOpen() || this.isCancelling,
+        keepsOwnership: (change) => this.keepsOwnership(change),
+        onHeadChange: (change) => this.handleHeadChange(change),
       },
       head,
     );
@@ -128,8 +128,8 @@
   }
 
   /** Whether the store still lacks listed changes. */
-  get isUnsettled(): boolean {
-    return this.writer.isBusy;
+  get hasUnstoredChanges(): boolean {
+    return this.writer.isPending;
   }
 
   /** Time since the ownership of the job was last confirmed. */
@@ -144,19 +144,19 @@
 
   /** Enables listing after the store has accepted the job. */
   attach(head: VersionedHead): void {
-    this.writer.take(head);
+    this.writer.setHead(head);
     this.confirmedAt = suspendAwareTime(this.options.clock);
   }
 
   /** Enables listing after the zone's journal has accepted the job, ahead of the store. */
   attachByJournal(): void {
-    this.isKeptByJournal = true;
+    this.isAcceptedByJournal = true;
     this.confirmedAt = suspendAwareTime(this.options.clock);
   }
 
   /** Lists pending results or verifies the ownership, whichever is due. */
   advance(): void {
-    if (this.isInTurn || !this.mayList) return;
+    if (this.isInTurn || !this.canList) return;
     const sinceListing = this.options.clock.now() - this.lastListingAt;
     if (this.pending.length > 0 && sinceListing >= this.listingInterval()) {
       void this.inTurn(() => this.list());
@@ -169,35 +169,37 @@
    * Cancels the job; resolves with whether the cancellation is stored. It is queued behind a page that
    * is being written, and proceeds even if the caller stops waiting.
    */
-  end(wanted: StillWanted): Promise<boolean> {
-    const ending = this.inTurn(async () => {
-      if (!this.mayList) return false;
-      if (this.isEndKept || this.isEndedInStore) return true;
-      this.isEnding = true;
-      this.isEndKept = await this.whileWanted(this.writer.end(), wanted);
-      this.isEnding = false;
-      if (this.isEndKept) this.options.close('ended');
-      return this.isEndKept || this.isEndedInStore;
+  cancel(isStillNeeded: StillNeeded): Promise<boolean> {
+    const cancellation = this.inTurn(async () => {
+      if (!this.canList) return false;
+      if (this.isCancellationStored || this.isCancelledInStore) return true;
+      this.isCancelling = true;
+      this.isCancellationStored = await this.whileNeeded(this.writer.cancel(), isStillNeeded);
+      this.isCancelling = false;
+      if (this.isCancellationStored) this.options.close('ended');
+      return this.isCancellationStored || this.isCancelledInStore;
     });
-    return this.whileWanted(ending, wanted);
+    return this.whileNeeded(cancellation, isStillNeeded);
   }
 
   /** Releases the job for another node, after earlier changes; `isStillNeeded` limits the wait. */
-  async release(wanted: StillWanted): Promise<void> {
+  async release(isStillNeeded: StillNeeded): Promise<void> {
     const { store, spec, progress, isOpen, close } = this.options;
     const releasing = this.inTurn(async () => {
       if (!isOpen()) return;
-      while (this.pending.length > 0 && (await this.whileWanted(this.list(), wanted)));
+      while (this.pending.length > 0 && (await this.whileNeeded(this.list(), isStillNeeded)));
       const { head } = this.writer;
       if (!isOpen() || head === undefined) return;
-      if (!this.writer.isBusy) {
-        this.noteHead(await store.replace(spec.id, head, { owner: null }, wanted, progress()));
+      if (!this.writer.isPending) {
+        this.handleHeadChange(
+          await store.replace(spec.id, head, { owner: null }, isStillNeeded, progress()),
+        );
       }
       close('released');
     });
-    await this.whileWanted(
+    await this.whileNeeded(
       releasing.then(() => true),
-      wanted,
+      isStillNeeded,
     );
   }
 
@@ -207,11 +209,11 @@
   }
 
   /** Whether the job is durably stored, so that results may be listed. */
-  private get mayList(): boolean {
-    return this.writer.head !== undefined || this.isKeptByJournal;
+  private get canList(): boolean {
+    return this.writer.head !== undefined || this.isAcceptedByJournal;
   }
 
-  private get isEndedInStore(): boolean {
+  private get isCancelledInStore(): boolean {
     return this.writer.head?.head.ended ?? false;
   }
 
@@ -230,25 +232,28 @@
   }
 
   /** Waits for a change while it is needed, and at least for a minimum time; false on timeout. */
-  private async whileWanted(change: Promise<boolean>, wanted: StillWanted): Promise<boolean> {
-    let holds: boolean | undefined;
+  private async whileNeeded(
+    change: Promise<boolean>,
+    isStillNeeded: StillNeeded,
+  ): Promise<boolean> {
+    let outcome: boolean | undefined;
     void change.then((value) => {
-      holds = value;
+      outcome = value;
     });
-    for (let step = 0; step < LEAST_PATIENCE_STEPS || wanted(); step += 1) {
-      await Promise.race([change, this.options.clock.sleep(PATIENCE_STEP)]);
-      if (holds !== undefined) return holds;
+    for (let step = 0; step < MIN_WAIT_POLLS || isStillNeeded(); step += 1) {
+      await Promise.race([change, this.options.clock.sleep(WAIT_POLL_INTERVAL)]);
+      if (outcome !== undefined) return outcome;
     }
     return false;
   }
 
   /** Lists one page of pending results; returns whether it is stored. */
   private async list(): Promise<boolean> {
-    const { clock, spec, isOpen, close, noteChanged } = this.options;
+    const { clock, spec, isOpen, close, onListed } = this.options;
     // Items that finish during the write belong to the next page.
-    const offered = this.pending.length;
+    const pendingCount = this.pending.length;
     const batch = firstPageOf(this.pending);
-    if (batch.length === 0 || !isOpen() || !this.mayList) return false;
+    if (batch.length === 0 || !isOpen() || !this.canList) return false;
     this.lastListingAt = clock.now();
     const startedAt = suspendAwareTime(clock);
     const isListed = await this.writer.list(batch);
@@ -258,10 +263,10 @@
       this.listedPages += 1;
       this.confirmedAt = startedAt;
       // The results that did not fit into the page are due immediately.
-      if (batch.length < offered) this.lastListingAt = Number.NEGATIVE_INFINITY;
+      if (batch.length < pendingCount) this.lastListingAt = Number.NEGATIVE_INFINITY;
       if (this.listed.length >= spec.items.length) close('finished');
     }
-    noteChanged();
+    onListed();
     return isListed;
   }
 
@@ -269,7 +274,7 @@
   private async verify(): Promise<void> {
     const { clock, journaled, isOpen } = this.options;
     const startedAt = suspendAwareTime(clock);
-    const byStore = this.writer.isBusy ? undefined : this.verifyAtStore(startedAt);
+    const byStore = this.writer.isPending ? undefined : this.verifyAtStore(startedAt);
     if (journaled.journal === undefined) return byStore;
     await Promise.race([byStore, clock.sleep(byStore === undefined ? 0 : JOURNAL_DELAY)]);
     if (this.confirmedAt >= startedAt || !isOpen()) return;
@@ -280,27 +285,27 @@
     const { store, spec, close } = this.options;
     const known = this.writer.head;
     const read = await store.head(spec.id);
-    if (read.kind === 'unavailable' || this.writer.head !== known || this.writer.isBusy) return;
+    if (read.kind === 'unavailable' || this.writer.head !== known || this.writer.isPending) return;
     if (read.kind === 'absent') {
       if (known !== undefined) close('superseded');
       return;
     }
     if (read.value.revision === known?.revision) this.confirmedAt = startedAt;
-    else this.noteHead({ kind: 'superseded', current: read.value });
+    else this.handleHeadChange({ kind: 'superseded', current: read.value });
   }
 
   /** Closes the job if the outcome of a change shows that it was cancelled or superseded. */
-  private noteHead(change: HeadChange): void {
+  private handleHeadChange(change: HeadChange): void {
     // The store may accept a cancellation after its callers have stopped waiting.
     if (change.kind === 'changed' && change.current.head.ended) this.options.close('ended');
     if (change.kind !== 'superseded') return;
     // A node that lacks listed results must not answer for the job, even a cancelled one.
-    if (!this.isOwnChange(change)) this.options.close('superseded');
+    if (!this.keepsOwnership(change)) this.options.close('superseded');
     else if (change.current?.head.ended === true) this.options.close('ended');
   }
 
   /** Whether a head changed by another node still names this owner and the pages it knows. */
-  private isOwnChange(change: HeadChange): boolean {
+  private keepsOwnership(change: HeadChange): boolean {
     if (change.kind !== 'superseded' || change.current === undefined) return false;
     const { self } = this.options;
     const { owner, pages } = change.current.head;
@@ -311,6 +316,6 @@
   private listingInterval(): Milliseconds {
     const { length: total } = this.options.spec.items;
     const open = total - this.listed.length - this.pending.length;
-    return open <= total * CLOSING_SHARE ? CLOSING_LISTING_INTERVAL : LISTING_INTERVAL;
+    return open <= total * CLOSING_SHARE ? MIN_CLOSING_LISTING_INTERVAL : MIN_LISTING_INTERVAL;
   }
 }
--- a/src/jobs/job-reader.ts
+++ b/src/jobs/job-reader.ts
@@ -12,11 +12,11 @@
 import type { JobStore, Read } from './job-store.js';
 
 /** Cache sizes in jobs: results, and specifications. */
-const KEPT_JOBS = 48;
-const KEPT_SPECIFICATIONS = 8;
+const MAX_CACHED_JOBS = 48;
+const MAX_CACHED_SPECIFICATIONS = 8;
 
 /** Cached state of a job. */
-interface KnownJob {
+interface CachedJob {
   readonly tenant: TenantName | undefined;
   readonly total: number;
   /** The owner when the job was last read; `null` if none is known. */
@@ -31,10 +31,10 @@
 }
 
 /** Cached state of a job whose results this node may not store. */
-type JobPlace = Pick<KnownJob, 'tenant' | 'total' | 'owner'>;
+type CachedOwner = Pick<CachedJob, 'tenant' | 'total' | 'owner'>;
 
 /** Results of a job as read. */
-export interface JobListing {
+export interface ReadListing {
   /** The tenant that submitted the job. */
   readonly tenant: TenantName | undefined;
   readonly total: number;
@@ -56,7 +56,7 @@
 }
 
 /** Requests results from an owner; `undefined` if it does not answer or no longer owns the job. */
-export type AskOwner = (
+export type FetchOwnerListing = (
   owner: JobOwner,
   job: string,
   after: number,
@@ -65,13 +65,13 @@
 
 /** Reads jobs from their owners and from the store. */
 export class JobReader {
-  private readonly jobs = new Map<string, KnownJob>();
-  private readonly places = new Map<string, JobPlace>();
+  private readonly jobs = new Map<string, CachedJob>();
+  private readonly owners = new Map<string, CachedOwner>();
   private readonly specifications = new Map<string, JobSpecification>();
 
   constructor(
     private readonly store: JobStore,
-    private readonly askOwner: AskOwner,
+    private readonly fetchOwnerListing: FetchOwnerListing,
     /** Node incarnations that probably own a job, the likeliest first; tried before the store. */
     private readonly likelyOwners: (job: string) => readonly JobOwner[] = () => [],
     /** The zones' journals, if zones accept jobs without the store. */
@@ -80,16 +80,16 @@
   ) {}
 
   /**
-   * Results of a job from a position on, at least up to those that were listed when the call came;
-   * also those before the position where they are at hand.
+   * Results of a job from position `after` on, including at least those listed before the call.
+   * Cached results before the position may be included.
    */
-  async listing(job: string, after: number, wait: Milliseconds): Promise<Read<JobListing>> {
-    const kept = this.jobs.get(job);
-    const known = kept === undefined || after < kept.offset ? undefined : kept;
-    if (known !== undefined && (after < endOf(known) || isWhole(known))) {
-      return { kind: 'found', value: known };
+  async listing(job: string, after: number, wait: Milliseconds): Promise<Read<ReadListing>> {
+    const cached = this.jobs.get(job);
+    const usable = cached === undefined || after < cached.offset ? undefined : cached;
+    if (usable !== undefined && (after < endOf(usable) || isComplete(usable))) {
+      return { kind: 'found', value: usable };
     }
-    const opened = known ?? this.openAtPlace(job, after) ?? (await this.open(job, after));
+    const opened = usable ?? this.openWithCachedOwner(job, after) ?? (await this.open(job, after));
     if ('kind' in opened) return opened;
     if (after < endOf(opened)) return { kind: 'found', value: opened };
     if (await this.readFromOwner(job, opened, wait)) return { kind: 'found', value: opened };
@@ -99,23 +99,27 @@
   /** Reads results from the store, unless a journal may have listed more. */
   private async readFromStore(
     job: string,
-    opened: KnownJob,
+    opened: CachedJob,
     after: number,
-  ): Promise<Read<JobListing>> {
+  ): Promise<Read<ReadListing>> {
     // Page numbers are relative to the first position.
-    const whole = opened.offset === 0 ? opened : await this.openAtStore(job);
-    if ('kind' in whole) return whole;
-    return this.readPages(job, whole, after);
+    const fromStart = opened.offset === 0 ? opened : await this.openAtStore(job);
+    if ('kind' in fromStart) return fromStart;
+    return this.readPages(job, fromStart, after);
   }
 
-  private async readPages(job: string, known: KnownJob, after: number): Promise<Read<JobListing>> {
+  private async readPages(
+    job: string,
+    cached: CachedJob,
+    after: number,
+  ): Promise<Read<ReadListing>> {
     // The journal is checked first: entries released after that are already in the store.
-    const isAll = await this.isStoreComplete(job);
-    const read = await this.store.results(job, known.pages);
+    const hasAllListed = await this.isStoreComplete(job);
+    const read = await this.store.results(job, cached.pages);
     if (read.kind !== 'found') return { kind: 'unavailable' };
-    this.extend(known, read.value);
-    const isTold = after < endOf(known) || isAll;
-    return isTold ? { kind: 'found', value: known } : { kind: 'unavailable' };
+    this.extend(cached, read.value);
+    const isAnswerable = after < endOf(cached) || hasAllListed;
+    return isAnswerable ? { kind: 'found', value: cached } : { kind: 'unavailable' };
   }
 
   /** Whether the store certainly has all listed results of a job. */
@@ -131,7 +135,7 @@
   }
 
   /** Whether a job that the store does not have certainly does not exist. */
-  async isSurelyAbsent(job: string): Promise<boolean> {
+  async isCertainlyAbsent(job: string): Promise<boolean> {
     const { journals } = this;
     if (journals === undefined) return true;
     if ((await journals.entryStatusInAllZones(job)) !== 'not-held') return false;
@@ -144,90 +148,101 @@
     const known = this.specifications.get(job);
     if (known !== undefined) return { kind: 'found', value: known };
     const read = await this.store.specification(job);
-    if (read.kind === 'absent' && !(await this.isSurelyAbsent(job))) return { kind: 'unavailable' };
+    if (read.kind === 'absent' && !(await this.isCertainlyAbsent(job)))
+      return { kind: 'unavailable' };
     if (read.kind !== 'found') return read;
-    const mayKeep = this.residency.mayHoldHere(this.residency.regionsForSpec(read.value));
-    if (mayKeep) keep(this.specifications, job, read.value, KEPT_SPECIFICATIONS);
+    const mayCache = this.residency.mayHoldHere(this.residency.regionsForSpec(read.value));
+    if (mayCache) addBounded(this.specifications, job, read.value, MAX_CACHED_SPECIFICATIONS);
     return read;
   }
 
-  private openAtPlace(job: string, after: number): KnownJob | undefined {
-    const place = this.places.get(job);
-    return place === undefined ? undefined : { ...place, pages: 0, offset: after, results: [] };
+  private openWithCachedOwner(job: string, after: number): CachedJob | undefined {
+    const cached = this.owners.get(job);
+    return cached === undefined ? undefined : { ...cached, pages: 0, offset: after, results: [] };
   }
 
   /** Caches the state of a job, without results if this node may not store them. */
-  private keepJob(job: string, known: KnownJob, allowed: AllowedRegions): void {
-    const { tenant, total, owner } = known;
-    if (this.residency.mayHoldHere(allowed)) keep(this.jobs, job, known, KEPT_JOBS);
-    else keep(this.places, job, { tenant, total, owner }, KEPT_JOBS);
+  private cacheJob(job: string, cached: CachedJob, allowed: AllowedRegions): void {
+    const { tenant, total, owner } = cached;
+    if (this.residency.mayHoldHere(allowed)) addBounded(this.jobs, job, cached, MAX_CACHED_JOBS);
+    else addBounded(this.owners, job, { tenant, total, owner }, MAX_CACHED_JOBS);
   }
 
-  private async open(job: string, after: number): Promise<KnownJob | Read<never>> {
+  private async open(job: string, after: number): Promise<CachedJob | Read<never>> {
     return (await this.openAtOwner(job, after)) ?? this.openAtStore(job);
   }
 
-  private async openAtOwner(job: string, after: number): Promise<KnownJob | undefined> {
+  private async openAtOwner(job: string, after: number): Promise<CachedJob | undefined> {
     for (const owner of this.likelyOwners(job)) {
-      const listing = await this.askOwner(owner, job, after, 0);
+      const listing = await this.fetchOwnerListing(owner, job, after, 0);
       if (listing === undefined) continue;
       const { tenant, total, pages, results, allowedRegions } = listing;
       const opened = { tenant, total, owner, pages, offset: after, results: [...results] };
       // Without results, `after` is the caller's position and may exceed the listed results.
-      if (after === 0 || results.length > 0) this.keepJob(job, opened, allowedRegions);
+      if (after === 0 || results.length > 0) this.cacheJob(job, opened, allowedRegions);
       return opened;
     }
     return undefined;
   }
 
-  private async openAtStore(job: string): Promise<KnownJob | Read<never>> {
+  private async openAtStore(job: string): Promise<CachedJob | Read<never>> {
     const read = await this.store.head(job);
-    if (read.kind === 'absent' && !(await this.isSurelyAbsent(job))) return { kind: 'unavailable' };
+    if (read.kind === 'absent' && !(await this.isCertainlyAbsent(job)))
+      return { kind: 'unavailable' };
     if (read.kind !== 'found') return read;
     const { tenant, total, owner, ended } = read.value.head;
-    const runsAt = ended ? null : owner;
-    const opened = { tenant, total, owner: runsAt, pages: 0, offset: 0, results: [] };
-    this.keepJob(job, opened, this.residency.regionsForOrigin(read.value.head));
+    const currentOwner = ended ? null : owner;
+    const opened = { tenant, total, owner: currentOwner, pages: 0, offset: 0, results: [] };
+    this.cacheJob(job, opened, this.residency.regionsForOrigin(read.value.head));
     return opened;
   }
 
-  private async readFromOwner(job: string, known: KnownJob, wait: Milliseconds): Promise<boolean> {
-    if (known.owner === null) return false;
-    const from = endOf(known);
-    const listing = await this.askOwner(known.owner, job, from, wait);
+  private async readFromOwner(
+    job: string,
+    cached: CachedJob,
+    wait: Milliseconds,
+  ): Promise<boolean> {
+    if (cached.owner === null) return false;
+    const from = endOf(cached);
+    const listing = await this.fetchOwnerListing(cached.owner, job, from, wait);
     if (listing === undefined) {
-      known.owner = null;
-      this.places.delete(job);
+      cached.owner = null;
+      this.owners.delete(job);
       return false;
     }
     // A concurrent read may already have added some of them.
-    known.results.push(...listing.results.slice(endOf(known) - from));
-    known.pages = Math.max(known.pages, listing.pages);
+    cached.results.push(...listing.results.slice(endOf(cached) - from));
+    cached.pages = Math.max(cached.pages, listing.pages);
     return true;
   }
 
   /** Appends pages, skipping those that a concurrent read has already added. */
-  private extend(known: KnownJob, pages: readonly (readonly JobResult[])[]): void {
-    const seen = new Set(known.results.map((result) => result.id));
+  private extend(cached: CachedJob, pages: readonly (readonly JobResult[])[]): void {
+    const seen = new Set(cached.results.map((result) => result.id));
     for (const page of pages) {
       if (page.some((result) => seen.has(result.id))) continue;
-      known.results.push(...page);
-      known.pages += 1;
+      cached.results.push(...page);
+      cached.pages += 1;
     }
   }
 }
 
 /** Position after the last cached result. */
-function endOf({ offset, results }: KnownJob): number {
+function endOf({ offset, results }: CachedJob): number {
   return offset + results.length;
 }
 
-function isWhole(known: KnownJob): boolean {
-  return endOf(known) >= known.total;
+function isComplete(cached: CachedJob): boolean {
+  return endOf(cached) >= cached.total;
 }
 
 /** Adds an entry and evicts the oldest one beyond the limit. */
-function keep<Value>(map: Map<string, Value>, key: string, value: Value, limit: number): void {
+function addBounded<Value>(
+  map: Map<string, Value>,
+  key: string,
+  value: Value,
+  limit: number,
+): void {
   map.set(key, value);
   const oldest = map.keys().next();
   if (map.size > limit && oldest.done !== true) map.delete(oldest.value);
--- a/src/jobs/job-results.ts
+++ b/src/jobs/job-results.ts
@@ -1,5 +1,5 @@
 /** Slices of a job's results as trainers read them. */
-import type { JobListing } from './job-reader.js';
+import type { ReadListing } from './job-reader.js';
 import type { JobResult } from './job-records.js';
 
 /** Consecutive results of a job, as one response returns them. */
@@ -10,11 +10,11 @@
 }
 
 /** Limit on the result text in one response; the first result may exceed it. */
-const MAXIMUM_SLICE_BYTES = 900_000;
+const MAX_SLICE_BYTES = 900_000;
 
 /** The results from position `after` on, as many as fit into one response. */
 export function sliceOf(
-  listing: Omit<JobListing, 'tenant' | 'offset'> & Partial<Pick<JobListing, 'offset'>>,
+  listing: Omit<ReadListing, 'tenant' | 'offset'> & Partial<Pick<ReadListing, 'offset'>>,
   after: number,
 ): ResultSlice {
   const { offset = 0 } = listing;
@@ -22,7 +22,7 @@
   let bytes = 0;
   for (const result of listing.results.slice(after - offset)) {
     bytes += Buffer.byteLength(result.text);
-    if (results.length > 0 && bytes > MAXIMUM_SLICE_BYTES) break;
+    if (results.length > 0 && bytes > MAX_SLICE_BYTES) break;
     results.push(result);
   }
   return { total: listing.total, results, nextPosition: after + results.length };
--- a/src/jobs/job-service.ts
+++ b/src/jobs/job-service.ts
@@ -12,13 +12,13 @@
 } from '../tenants/tenant.js';
 import type { DigestedWork } from './item-work-cache.js';
 import { JobAdmission } from './job-admission.js';
-import { JobHandover } from './job-handover.js';
 import type { JobPeers } from './job-peers.js';
 import type { JobReader } from './job-reader.js';
 import { ageOf, isFinished, type JobOwner, type JobSpecification } from './job-records.js';
 import { type ResultSlice, sliceOf } from './job-results.js';
-import type { StillWanted, VersionedHead } from './job-store.js';
+import type { StillNeeded, VersionedHead } from './job-store.js';
 import { JobSubmissions } from './job-submissions.js';
+import { JobTransfer } from './job-transfer.js';
 import { JournalRecovery } from './journal-recovery.js';
 import type { OwnedJob } from './owned-job.js';
 import { OwnedJobs, type OwnedJobsOptions } from './owned-jobs.js';
@@ -39,13 +39,13 @@
 }
 
 /** Maximum age of the confirmation with which an owner reports that nothing more is listed. */
-const FRESH_CONFIRMATION: Milliseconds = 700;
+const MAX_CONFIRMATION_AGE: Milliseconds = 700;
 
 /** Interval between scans for jobs that this node may no longer store. */
-const PLACE_LOOK_INTERVAL: Milliseconds = 500;
+const RESIDENCY_SCAN_INTERVAL: Milliseconds = 500;
 
 /** Timeout for confirming the ownership while a reader waits. */
-const VERIFY_LIMIT: Milliseconds = 400;
+const VERIFY_TIMEOUT: Milliseconds = 400;
 
 /** Added to the retention, since machine clocks differ. */
 const RETENTION_MARGIN: Milliseconds = 30_000;
@@ -55,10 +55,10 @@
   private readonly owned: OwnedJobs;
   private readonly submissions: JobSubmissions;
   private readonly admission: JobAdmission;
-  private readonly handover: JobHandover;
+  private readonly transfer: JobTransfer;
   private readonly recovery: JournalRecovery | undefined;
   private readonly residency: JobResidency;
-  private nextPlaceLookAt: Milliseconds = 0;
+  private nextResidencyScanAt: Milliseconds = 0;
 
   constructor(private readonly options: JobServiceOptions) {
     this.owned = new OwnedJobs(options);
@@ -66,10 +66,10 @@
     const shared = { ...options, owned: this.owned, residency: this.residency };
     this.submissions = new JobSubmissions(shared);
     this.admission = new JobAdmission({ ...options, submissions: this.submissions });
-    this.handover = new JobHandover(shared);
-    const { journals, isWriterLive = () => true, canRecover: mayRecover = () => false } = options;
+    this.transfer = new JobTransfer(shared);
+    const { journals, isWriterLive = () => true, canRecover = () => false } = options;
     if (journals === undefined) return;
-    this.recovery = new JournalRecovery({ ...shared, journals, isWriterLive, mayRecover });
+    this.recovery = new JournalRecovery({ ...shared, journals, isWriterLive, canRecover });
   }
 
   /** Jobs that this node owns, and recently closed ones. */
@@ -81,17 +81,17 @@
    * Has a job accepted; `undefined` means that the job is durably stored. The node that is to run the
    * job accepts it, which is usually another one.
    */
-  submit(spec: JobSpecification, wanted: StillWanted): Promise<Failure | undefined> {
-    return this.admission.submit(spec, wanted);
+  submit(spec: JobSpecification, isStillNeeded: StillNeeded): Promise<Failure | undefined> {
+    return this.admission.submit(spec, isStillNeeded);
   }
 
   /** Accepts a job on this node for another node. */
   submitHere(
     spec: JobSpecification,
-    wanted: StillWanted,
+    isStillNeeded: StillNeeded,
     isFromOutside = false,
   ): Promise<Failure | undefined> {
-    return this.submissions.submit(spec, wanted, isFromOutside);
+    return this.submissions.submit(spec, isStillNeeded, isFromOutside);
   }
 
   /**
@@ -99,33 +99,33 @@
    * whether this node owns it now.
    */
   takeOver(job: string, found: VersionedHead, ownerAnswers = false): Promise<boolean> {
-    return this.handover.adopt(job, found, ownerAnswers);
+    return this.transfer.takeOver(job, found, ownerAnswers);
   }
 
   /** Releases a job that another node has taken over; returns this node's unlisted work on it. */
   releaseTakenOver(job: string, zone?: ZoneName): Map<string, DigestedWork> {
-    return this.owned.surrender(job, zone);
+    return this.owned.releaseTakenOver(job, zone);
   }
 
   /** Whether this node is taking over a job, and so owns it without running it yet. */
   isTakingOver(job: string): boolean {
-    return this.handover.isAdopting(job);
+    return this.transfer.isTakingOver(job);
   }
 
   /** Takes over a job that its owner has released. */
   takeReleased(job: string): Promise<boolean> {
-    return this.handover.takeReleased(job);
+    return this.transfer.takeReleased(job);
   }
 
   /** Releases all open jobs to other nodes, and runs none from now on. */
-  release(wanted: StillWanted): Promise<void> {
-    this.submissions.runNoMore();
-    return this.handover.release(wanted);
+  release(isStillNeeded: StillNeeded): Promise<void> {
+    this.submissions.stopRunningJobs();
+    return this.transfer.release(isStillNeeded);
   }
 
   /** Cached work on items that a node of `zone` may receive. */
   cachedWorkOf(items: readonly string[], zone?: ZoneName): Map<string, DigestedWork> {
-    return this.owned.keptWorkOf(items, zone);
+    return this.owned.cachedWorkOf(items, zone);
   }
 
   /** Called if this machine may have been suspended. */
@@ -138,10 +138,10 @@
     this.owned.tick();
     const now = this.options.clock.now();
     this.recovery?.tick(now);
-    if (now < this.nextPlaceLookAt) return;
-    this.nextPlaceLookAt = now + PLACE_LOOK_INTERVAL;
-    this.owned.forgetMisplaced();
-    void this.handover.moveMisplaced();
+    if (now < this.nextResidencyScanAt) return;
+    this.nextResidencyScanAt = now + RESIDENCY_SCAN_INTERVAL;
+    this.owned.dropMisplaced();
+    void this.transfer.transferMisplaced();
   }
 
   /** Results from position `after` on; an owner waits up to `wait` for the first one. */
@@ -151,8 +151,8 @@
     wait: Milliseconds,
     caller: CallerIdentity,
   ): Promise<ResultSlice | Failure> {
-    const passedOn = await this.options.peers.readElsewhere(job, after, wait, caller);
-    return passedOn ?? this.readHere(job, after, wait, caller);
+    const forwarded = await this.options.peers.readElsewhere(job, after, wait, caller);
+    return forwarded ?? this.readHere(job, after, wait, caller);
   }
 
   /**
@@ -166,18 +166,18 @@
     caller: CallerIdentity,
   ): Promise<ResultSlice | Failure> {
     const { residency } = this;
-    if (residency.limitsRegions && this.owned.answering(job) === undefined) {
+    if (residency.limitsRegions && this.owned.answerable(job) === undefined) {
       const read = await this.options.store.head(job);
-      if (read.kind === 'unavailable') return storeSilent();
+      if (read.kind === 'unavailable') return storeUnavailable();
       // Without a head the allowed regions are unknown, so no other node is queried.
-      if (read.kind === 'absent') return this.absence(job);
-      if (!residency.mayHoldHere(residency.regionsForOrigin(read.value.head))) return NOT_READ_HERE;
+      if (read.kind === 'absent') return this.absenceFailure(job);
+      if (!residency.mayHoldHere(residency.regionsForOrigin(read.value.head))) return REGION_DENIED;
     }
     return this.readHere(job, after, wait, caller);
   }
 
-  private async absence(job: string): Promise<Failure> {
-    return (await this.options.reader.isSurelyAbsent(job)) ? NO_SUCH_JOB : storeSilent();
+  private async absenceFailure(job: string): Promise<Failure> {
+    return (await this.options.reader.isCertainlyAbsent(job)) ? NO_SUCH_JOB : storeUnavailable();
   }
 
   /** Reads from this node's own jobs, the owner or the store. */
@@ -187,16 +187,16 @@
     wait: Milliseconds,
     caller: CallerIdentity,
   ): Promise<ResultSlice | Failure> {
-    const own = this.owned.answering(job);
+    const own = this.owned.answerable(job);
     if (own !== undefined) {
-      if (!mayAccess(caller, own.spec.tenant)) return this.refuse(job, own.spec.tenant, caller);
+      if (!mayAccess(caller, own.spec.tenant)) return this.deny(job, own.spec.tenant, caller);
       return this.readOwned(own, after, wait, caller);
     }
     const read = await this.options.reader.listing(job, after, wait);
     if (read.kind === 'absent') return NO_SUCH_JOB;
-    if (read.kind === 'unavailable') return storeSilent();
+    if (read.kind === 'unavailable') return storeUnavailable();
     const { tenant } = read.value;
-    if (!mayAccess(caller, tenant)) return this.refuse(job, tenant, caller);
+    if (!mayAccess(caller, tenant)) return this.deny(job, tenant, caller);
     return sliceOf(read.value, after);
   }
 
@@ -204,10 +204,10 @@
   async itemBody(job: string, item: string, caller: CallerIdentity): Promise<Buffer | Failure> {
     const own = this.owned.get(job);
     if (own === undefined) {
-      const told = await this.options.peers.bodyAtOwner(job, item);
-      if (told !== undefined) {
-        if (!mayAccess(caller, told.tenant)) return this.refuse(job, told.tenant, caller);
-        return bodyOrAbsent(told.body);
+      const reported = await this.options.peers.bodyAtOwner(job, item);
+      if (reported !== undefined) {
+        if (!mayAccess(caller, reported.tenant)) return this.deny(job, reported.tenant, caller);
+        return bodyOrAbsent(reported.body);
       }
     }
     const read =
@@ -215,9 +215,9 @@
         ? await this.options.reader.specification(job)
         : ({ kind: 'found', value: own.spec } as const);
     if (read.kind === 'absent') return NO_SUCH_JOB;
-    if (read.kind === 'unavailable') return storeSilent();
+    if (read.kind === 'unavailable') return storeUnavailable();
     const { tenant, items } = read.value;
-    if (!mayAccess(caller, tenant)) return this.refuse(job, tenant, caller);
+    if (!mayAccess(caller, tenant)) return this.deny(job, tenant, caller);
     return bodyOrAbsent(items.find((entry) => entry.id === item)?.body);
   }
 
@@ -234,64 +234,64 @@
     const read = await this.options.store.head(job);
     if (read.kind !== 'found' || isFinished(read.value.head)) return false;
     const { owner: current } = read.value.head;
-    const isTheirs = current?.node === owner.node && current.incarnation === owner.incarnation;
-    return isTheirs && this.takeOver(job, read.value, ownerAnswers);
+    const isStillOwner = current?.node === owner.node && current.incarnation === owner.incarnation;
+    return isStillOwner && this.takeOver(job, read.value, ownerAnswers);
   }
 
   /** Cancels a job; `undefined` means that it is cancelled. */
   async cancel(
     job: string,
     caller: CallerIdentity,
-    wanted: StillWanted,
+    isStillNeeded: StillNeeded,
   ): Promise<Failure | undefined> {
-    const passedOn = await this.options.peers.cancelElsewhere(job, caller);
-    if (passedOn !== undefined && passedOn.failure === undefined) {
-      this.owned.get(job)?.noteEnded();
+    const forwarded = await this.options.peers.cancelElsewhere(job, caller);
+    if (forwarded !== undefined && forwarded.failure === undefined) {
+      this.owned.get(job)?.noteCancelledElsewhere();
       return undefined;
     }
-    return this.cancelHere(job, caller, wanted);
+    return this.cancelHere(job, caller, isStillNeeded);
   }
 
   /** Cancels a job on this node, at its owner or in the store. */
   async cancelHere(
     job: string,
     caller: CallerIdentity,
-    wanted: StillWanted,
+    isStillNeeded: StillNeeded,
   ): Promise<Failure | undefined> {
     const own = this.owned.get(job);
     if (own !== undefined && !mayAccess(caller, own.spec.tenant)) {
-      return this.refuse(job, own.spec.tenant, caller);
+      return this.deny(job, own.spec.tenant, caller);
     }
-    if (own?.mayBeEnded === true && (await own.end(wanted))) return undefined;
-    if (own === undefined && (await this.endAtLikelyOwner(job, caller))) return undefined;
+    if (own?.canCancel === true && (await own.cancel(isStillNeeded))) return undefined;
+    if (own === undefined && (await this.cancelAtLikelyOwner(job, caller))) return undefined;
     for (;;) {
       const read = await this.options.store.head(job);
       if (read.kind === 'absent') {
-        return this.absence(job);
+        return this.absenceFailure(job);
       }
       if (read.kind === 'found') {
-        const { ended: hasEnded, owner, tenant } = read.value.head;
-        if (!mayAccess(caller, tenant)) return this.refuse(job, tenant, caller);
-        if (hasEnded) return undefined;
-        const isEnded =
+        const { ended: isCancelled, owner, tenant } = read.value.head;
+        if (!mayAccess(caller, tenant)) return this.deny(job, tenant, caller);
+        if (isCancelled) return undefined;
+        const isCancelledByOwner =
           owner !== null && (await this.options.peers.cancelAtOwner(owner, job, caller));
-        if (isEnded) return undefined;
+        if (isCancelledByOwner) return undefined;
         const ended = { ended: true };
-        const change = await this.options.store.replace(job, read.value, ended, wanted);
+        const change = await this.options.store.replace(job, read.value, ended, isStillNeeded);
         if (change.kind === 'changed') return undefined;
       }
-      if (!wanted()) return storeSilent();
+      if (!isStillNeeded()) return storeUnavailable();
       await this.options.clock.sleep(STORE_RETRY_AFTER);
     }
   }
 
-  private async endAtLikelyOwner(job: string, caller: CallerIdentity): Promise<boolean> {
+  private async cancelAtLikelyOwner(job: string, caller: CallerIdentity): Promise<boolean> {
     const [owner] = this.options.peers.likelyOwners(job);
     return owner !== undefined && this.options.peers.cancelAtOwner(owner, job, caller);
   }
 
   /** Hides a job from other tenants as if it did not exist; only the log shows the difference. */
-  private refuse(job: string, tenant: TenantName | undefined, caller: CallerIdentity): Failure {
+  private deny(job: string, tenant: TenantName | undefined, caller: CallerIdentity): Failure {
     const details = { job, tenant: tenant ?? 'none', caller: tenantNameOf(caller) ?? caller.kind };
     this.options.log.decision('job-access-refused', details);
     return NO_SUCH_JOB;
@@ -316,23 +316,23 @@
     after: number,
     wait: Milliseconds,
   ): Promise<PeerAnswers['job-results']> {
-    const own = this.owned.answering(job);
+    const own = this.owned.answerable(job);
     if (own === undefined) return { isOwner: false };
-    await this.awaitFresh(own, after, wait);
-    if (!own.mayAnswer || isUnsure(own, after)) return { isOwner: false };
+    await this.awaitResults(own, after, wait);
+    if (!own.canAnswer || mayLackResults(own, after)) return { isOwner: false };
     const { items, tenant } = own.spec;
     const total = items.length;
     const { pages, results } = own;
     const allowedRegions = this.residency.regionsForSpec(own.spec);
-    const kept = allowedRegions === undefined ? {} : { allowedRegions };
-    return { isOwner: true, tenant, total, pages, results: results.slice(after), ...kept };
+    const restriction = allowedRegions === undefined ? {} : { allowedRegions };
+    return { isOwner: true, tenant, total, pages, results: results.slice(after), ...restriction };
   }
 
   /** Cancels a job that this node owns; returns whether it is cancelled. */
   async cancelOwn(job: string, caller: CallerIdentity): Promise<boolean> {
     const own = this.owned.get(job);
     if (own === undefined || !mayAccess(caller, own.spec.tenant)) return false;
-    return own.mayBeEnded ? own.end(() => false) : own.hasEnded;
+    return own.canCancel ? own.cancel(() => false) : own.isCancelled;
   }
 
   private async readOwned(
@@ -341,28 +341,28 @@
     wait: Milliseconds,
     caller: CallerIdentity,
   ): Promise<ResultSlice | Failure> {
-    await this.awaitFresh(job, after, wait);
-    if (!job.mayAnswer) return this.readHere(job.spec.id, after, 0, caller);
-    if (isUnsure(job, after)) return storeSilent();
+    await this.awaitResults(job, after, wait);
+    if (!job.canAnswer) return this.readHere(job.spec.id, after, 0, caller);
+    if (mayLackResults(job, after)) return storeUnavailable();
     return sliceOf({ total: job.spec.items.length, results: job.results }, after);
   }
 
   /** Waits for a result from a position on, or confirms that there is none. */
-  private async awaitFresh(job: OwnedJob, after: number, wait: Milliseconds): Promise<void> {
+  private async awaitResults(job: OwnedJob, after: number, wait: Milliseconds): Promise<void> {
     if (after >= job.results.length && job.isOpen && wait > 0) await firstChange(job, wait);
-    if (!isUnsure(job, after)) return;
+    if (!mayLackResults(job, after)) return;
     // The verification may be queued behind a commit that the store does not answer.
-    await Promise.race([job.verifyNow(), this.options.clock.sleep(VERIFY_LIMIT)]);
+    await Promise.race([job.verifyNow(), this.options.clock.sleep(VERIFY_TIMEOUT)]);
   }
 }
 
-const NOT_READ_HERE = failure('region_unavailable', 'the job may not lie in this region');
+const REGION_DENIED = failure('region_unavailable', 'the job may not lie in this region');
 const NO_SUCH_JOB = failure('not_found', 'there is no such job');
 
 /** Whether another owner may have listed results that this one does not have. */
-function isUnsure(job: OwnedJob, after: number): boolean {
+function mayLackResults(job: OwnedJob, after: number): boolean {
   const isShort = after >= job.results.length && job.isOpen;
-  return isShort && job.confirmationAge() > FRESH_CONFIRMATION;
+  return isShort && job.confirmationAge() > MAX_CONFIRMATION_AGE;
 }
 
 function bodyOrAbsent(body: string | undefined): Buffer | Failure {
@@ -370,7 +370,7 @@
   return Buffer.from(body, 'base64');
 }
 
-function storeSilent(): Failure {
+function storeUnavailable(): Failure {
   return failure('ledger_unavailable', 'the store does not answer', {
     retryAfter: STORE_RETRY_AFTER,
   });
--- a/src/jobs/job-store.ts
+++ b/src/jobs/job-store.ts
@@ -48,11 +48,11 @@
   | { readonly kind: 'unavailable' };
 
 /** Whether the operation was not cancelled; checked before each retry. */
-export type StillWanted = () => boolean;
+export type StillNeeded = () => boolean;
 
 /** Bounds of the exponential backoff between retries of a commit. */
-const FIRST_PAUSE: Milliseconds = 60;
-const LONGEST_PAUSE: Milliseconds = 500;
+const MIN_RETRY_DELAY: Milliseconds = 60;
+const MAX_RETRY_DELAY: Milliseconds = 500;
 
 /** Characters of a specification in one key; base64 expands them to less than 1 MiB. */
 const PART_LENGTH = 600_000;
@@ -68,15 +68,19 @@
   ) {}
 
   /** Creates a job; `superseded` means that it already exists. */
-  create(spec: JobSpecification, head: HeadFields, wanted: StillWanted): Promise<HeadChange> {
+  create(
+    spec: JobSpecification,
+    head: HeadFields,
+    isStillNeeded: StillNeeded,
+  ): Promise<HeadChange> {
     const text = JSON.stringify(spec);
     const puts: StorePut[] = [];
     for (let part = 0; part * PART_LENGTH < text.length; part += 1) {
       const value = text.slice(part * PART_LENGTH, (part + 1) * PART_LENGTH);
       puts.push({ key: JOB_KEYS.specification(spec.id, part), value });
     }
-    const whole = { ...head, specificationParts: puts.length };
-    return this.change(spec.id, ABSENT, whole, puts, wanted);
+    const completeHead = { ...head, specificationParts: puts.length };
+    return this.change(spec.id, ABSENT, completeHead, puts, isStillNeeded);
   }
 
   /** Lists one page of results after those of `base`. */
@@ -85,9 +89,9 @@
     base: VersionedHead,
     results: readonly JobResult[],
     progress: StoredProgress | undefined,
-    wanted: StillWanted,
+    isStillNeeded: StillNeeded,
   ): Promise<HeadChange> {
-    return this.extend(job, base, { pages: [results], ended: false }, progress, wanted);
+    return this.extend(job, base, { pages: [results], ended: false }, progress, isStillNeeded);
   }
 
   /** Lists pages of results after those of `base`, and cancels the job if requested. */
@@ -96,7 +100,7 @@
     base: VersionedHead,
     extension: JobExtension,
     progress: StoredProgress | undefined,
-    wanted: StillWanted,
+    isStillNeeded: StillNeeded,
   ): Promise<HeadChange> {
     const puts: StorePut[] = [];
     let { listed, pages } = base.head;
@@ -108,7 +112,13 @@
     }
     if (progress !== undefined) puts.push(progressPut(job, progress));
     const ended = base.head.ended || extension.ended;
-    return this.change(job, base.revision, { ...base.head, listed, pages, ended }, puts, wanted);
+    return this.change(
+      job,
+      base.revision,
+      { ...base.head, listed, pages, ended },
+      puts,
+      isStillNeeded,
+    );
   }
 
   /** Replaces fields of a job's head and, if given, the progress of unfinished items. */
@@ -116,11 +126,11 @@
     job: string,
     base: VersionedHead,
     fields: Partial<HeadFields>,
-    wanted: StillWanted,
+    isStillNeeded: StillNeeded,
     progress?: StoredProgress,
   ): Promise<HeadChange> {
     const puts = progress === undefined ? [] : [progressPut(job, progress)];
-    return this.change(job, base.revision, { ...base.head, ...fields }, puts, wanted);
+    return this.change(job, base.revision, { ...base.head, ...fields }, puts, isStillNeeded);
   }
 
   /** Reads the head of a job. */
@@ -180,8 +190,8 @@
     const pages = Array.from({ length: base.head.pages }, (_, page) => JOB_KEYS.page(job, page));
     const specs = Array.from({ length: parts }, (_, part) => JOB_KEYS.specification(job, part));
     const keys = [...pages, ...specs, JOB_KEYS.progress(job)];
-    for (let start = 0; start < keys.length; start += REMOVALS_A_COMMIT) {
-      const remove = keys.slice(start, start + REMOVALS_A_COMMIT);
+    for (let start = 0; start < keys.length; start += MAX_REMOVALS_PER_COMMIT) {
+      const remove = keys.slice(start, start + MAX_REMOVALS_PER_COMMIT);
       await this.store.commit({ expected: [], remove });
     }
     const expected = [{ key: JOB_KEYS.head(job), revision: base.revision }];
@@ -193,13 +203,13 @@
     base: Revision,
     fields: Omit<JobHead, 'changeId'>,
     puts: readonly StorePut[],
-    wanted: StillWanted,
+    isStillNeeded: StillNeeded,
   ): Promise<HeadChange> {
     const head: JobHead = { ...fields, changeId: randomUUID() };
     const key = JOB_KEYS.head(job);
     const put = [{ key, value: JSON.stringify(head) }, ...puts];
     let mayBeDone = false;
-    for (let pause = FIRST_PAUSE; ; pause = Math.min(2 * pause, LONGEST_PAUSE)) {
+    for (let delay = MIN_RETRY_DELAY; ; delay = Math.min(2 * delay, MAX_RETRY_DELAY)) {
       const outcome = await this.store.commit({ expected: [{ key, revision: base }], put });
       if (outcome.kind === 'committed') {
         return { kind: 'changed', current: { head, revision: outcome.revision } };
@@ -209,8 +219,8 @@
         if (settled !== undefined) return settled;
       }
       if (outcome.kind === 'failed' && outcome.effect === 'unknown') mayBeDone = true;
-      if (!wanted()) return { kind: 'unavailable', mayBeDone };
-      await this.clock.sleep(pause);
+      if (!isStillNeeded()) return { kind: 'unavailable', mayBeDone };
+      await this.clock.sleep(delay);
     }
   }
 
@@ -219,13 +229,13 @@
     const read = await this.head(job);
     if (read.kind === 'unavailable') return undefined;
     if (read.kind === 'absent') return { kind: 'superseded', current: undefined };
-    const own = read.value.head.changeId === written.changeId;
-    return { kind: own ? 'changed' : 'superseded', current: read.value };
+    const isOwnChange = read.value.head.changeId === written.changeId;
+    return { kind: isOwnChange ? 'changed' : 'superseded', current: read.value };
   }
 }
 
 /** Maximum number of keys that one commit removes. */
-const REMOVALS_A_COMMIT = 30;
+const MAX_REMOVALS_PER_COMMIT = 30;
 
 function progressPut(job: string, progress: StoredProgress): StorePut {
   return { key: JOB_KEYS.progress(job), value: JSON.stringify(progress) };
--- a/src/jobs/job-submissions.ts
+++ b/src/jobs/job-submissions.ts
@@ -16,8 +16,8 @@
 import type { DigestedWork } from './item-work-cache.js';
 import type { JobPeers } from './job-peers.js';
 import { ageOf, type JobOwner, type JobSpecification, weightNeedOf } from './job-records.js';
-import type { HeadChange, HeadFields, JobStore, StillWanted, VersionedHead } from './job-store.js';
-import { JOURNAL_RETRY_PAUSE } from './listing-writer.js';
+import type { HeadChange, HeadFields, JobStore, StillNeeded, VersionedHead } from './job-store.js';
+import { JOURNAL_RETRY_DELAY } from './listing-writer.js';
 import type { OwnedJob } from './owned-job.js';
 import type { OwnedJobs } from './owned-jobs.js';
 import { STORE_RETRY_AFTER } from './store-reads.js';
@@ -42,7 +42,7 @@
 }
 
 /** A submission whose outcome is pending. */
-interface SubmissionUnderWay {
+interface PendingSubmission {
   readonly tenant: TenantName | undefined;
   readonly outcome: Promise<Failure | undefined>;
 }
@@ -51,11 +51,11 @@
  * Time for the other zones to confirm that they do not have a job. Long enough for journal replicas
  * to register after a full restart; a zone partition is not waited out.
  */
-const ZONES_ANSWER_LIMIT: Milliseconds = 3_000;
-const ZONES_RETRY_PAUSE: Milliseconds = 200;
+const ZONE_QUERY_TIMEOUT: Milliseconds = 3_000;
+const ZONE_QUERY_RETRY_DELAY: Milliseconds = 200;
 
 /** Conditions under which a job is accepted. */
-interface AdmittedJob {
+interface Acceptance {
   /** The future owner; `null` if this node is stopping and another one must take the job. */
   readonly owner: JobOwner | null;
   /** The zone's journal, claimed for this job; `undefined` if there is none. */
@@ -75,18 +75,18 @@
   private isReleasing = false;
   private readonly steps = new TrainerSteps();
   /** Pending submissions by job id, so that a repeated submission shares the outcome. */
-  private readonly underWay = new Map<string, SubmissionUnderWay>();
+  private readonly pending = new Map<string, PendingSubmission>();
 
   constructor(private readonly options: JobSubmissionsOptions) {}
 
   /** Stores jobs only for other nodes to run from now on. */
-  runNoMore(): void {
+  stopRunningJobs(): void {
     this.isReleasing = true;
   }
 
   /** Called if this machine may have been suspended while another zone served its callers. */
   noteSuspended(): void {
-    this.steps.forget();
+    this.steps.clear();
   }
 
   /**
@@ -95,54 +95,54 @@
    */
   async submit(
     spec: JobSpecification,
-    wanted: StillWanted,
+    isStillNeeded: StillNeeded,
     isFromOutside = false,
   ): Promise<Failure | undefined> {
     const own = this.options.owned.get(spec.id);
-    if (own !== undefined) return belongsElsewhere(spec, own.spec.tenant);
-    const known = this.underWay.get(spec.id);
-    if (known !== undefined) return belongsElsewhere(spec, known.tenant) ?? known.outcome;
+    if (own !== undefined) return tenantConflict(spec, own.spec.tenant);
+    const earlier = this.pending.get(spec.id);
+    if (earlier !== undefined) return tenantConflict(spec, earlier.tenant) ?? earlier.outcome;
     const { residency } = this.options;
-    if (!residency.mayHoldHere(residency.regionsForSpec(spec))) return NOT_IN_THIS_REGION;
-    const submission = this.store(spec, wanted, isFromOutside);
-    this.underWay.set(spec.id, { tenant: spec.tenant, outcome: submission });
-    return submission.finally(() => this.underWay.delete(spec.id));
+    if (!residency.mayHoldHere(residency.regionsForSpec(spec))) return REGION_DENIED;
+    const submission = this.store(spec, isStillNeeded, isFromOutside);
+    this.pending.set(spec.id, { tenant: spec.tenant, outcome: submission });
+    return submission.finally(() => this.pending.delete(spec.id));
   }
 
   private async store(
     spec: JobSpecification,
-    wanted: StillWanted,
+    isStillNeeded: StillNeeded,
     isFromOutside: boolean,
   ): Promise<Failure | undefined> {
     const owner = this.isReleasing ? null : this.options.self;
     const journal = owner === null ? undefined : await this.openJournal(spec.id);
-    if (journal === 'held-elsewhere') return this.answerAsKnown(spec);
+    if (journal === 'held-elsewhere') return this.answerFromStore(spec);
     const isNextStep = !isFromOutside && this.steps.isNext(spec);
-    if (!isNextStep && !(await this.isUnknownToOtherZones(spec.id, wanted))) {
-      return this.answerAsKnown(spec);
+    if (!isNextStep && !(await this.isAbsentInOtherZones(spec.id, isStillNeeded))) {
+      return this.answerFromStore(spec);
     }
     // Another node of this zone may have accepted the job during the queries.
-    if (!isNextStep && (await isLost(journal))) return this.answerAsKnown(spec);
-    return this.create(spec, { owner, journal, isNextStep, isFromOutside }, wanted);
+    if (!isNextStep && (await hasLostClaim(journal))) return this.answerFromStore(spec);
+    return this.create(spec, { owner, journal, isNextStep, isFromOutside }, isStillNeeded);
   }
 
   /** Creates a job in the store or, while that does not answer, in the zone's journal. */
   private async create(
     spec: JobSpecification,
-    { owner, journal, isNextStep, isFromOutside }: AdmittedJob,
-    wanted: StillWanted,
+    { owner, journal, isNextStep, isFromOutside }: Acceptance,
+    isStillNeeded: StillNeeded,
   ): Promise<Failure | undefined> {
     const { store, clock, zone, journals } = this.options;
     const startedAt = clock.now();
-    const kept = this.keptElsewhere(spec);
+    const cachedWork = this.cachedElsewhere(spec);
     let isJournaled = false;
-    const noted = this.options.residency.headFieldsFor(spec);
-    const head = { ...firstHead(spec, owner, zone, journal), ...noted };
-    const creation = store.create(spec, head, () => isJournaled || wanted());
+    const residencyFields = this.options.residency.headFieldsFor(spec);
+    const head = { ...firstHead(spec, owner, zone, journal), ...residencyFields };
+    const creation = store.create(spec, head, () => isJournaled || isStillNeeded());
     const mayStart = owner !== null && (isNextStep || journals === undefined);
-    const early = mayStart ? await this.startEarly(spec, creation, kept, journal) : undefined;
+    const early = mayStart ? await this.startEarly(spec, creation, cachedWork, journal) : undefined;
     if (early !== undefined && journal !== undefined) {
-      isJournaled = await this.takeInByJournal(early, journal, creation, wanted);
+      isJournaled = await this.acceptByJournal(early, journal, creation, isStillNeeded);
       if (isJournaled) {
         void creation.then((change) => this.settleJournaled(early, journal, change));
         return undefined;
@@ -151,16 +151,16 @@
     const change = await creation;
     this.noteSubmitted(spec, change, clock.now() - startedAt);
     if (change.kind !== 'changed') early?.abandon();
-    else if (owner !== null && (await isLost(journal))) {
+    else if (owner !== null && (await hasLostClaim(journal))) {
       early?.abandon();
-      await this.passToHolder(spec, change.current, journal);
-    } else if (owner === null) await this.handOver(spec);
+      await this.releaseToHolder(spec, change.current, journal);
+    } else if (owner === null) await this.offerReleased(spec);
     else {
-      if (!isFromOutside) this.steps.note(spec);
-      await this.ownCreated(spec, change.current, early, kept, journal);
+      if (!isFromOutside) this.steps.record(spec);
+      await this.addCreated(spec, change.current, early, cachedWork, journal);
     }
     const present = change.kind === 'superseded' ? change.current : undefined;
-    if (present !== undefined) return belongsElsewhere(spec, present.head.tenant);
+    if (present !== undefined) return tenantConflict(spec, present.head.tenant);
     if (change.kind !== 'unavailable') return undefined;
     // A job whose items have started must not be reported as not run.
     if (change.mayBeDone || early !== undefined) {
@@ -186,24 +186,24 @@
     if (isWriterLive(claim.holder.writer)) return claim.kind;
     if ((await journals.entryStatus(job, replicas)) !== 'not-held') return claim.kind;
     const next = journals.open(job, replicas, claim.holder.term + 1);
-    const second = await next.claim();
-    return second.kind === 'claimed' && second.entries.length === 0 ? next : claim.kind;
+    const secondClaim = await next.claim();
+    return secondClaim.kind === 'claimed' && secondClaim.entries.length === 0 ? next : claim.kind;
   }
 
   /**
    * Releases a job that the store created for this node although another node of the zone holds the
    * claim and may have listed results. A node that takes the job over continues from the journal.
    */
-  private async passToHolder(
+  private async releaseToHolder(
     { id }: JobSpecification,
-    made: VersionedHead,
+    created: VersionedHead,
     journal: JobJournal | undefined,
   ): Promise<void> {
     const { store, peers, log } = this.options;
     const claim = await journal?.claim();
     const term = claim?.kind === 'held-elsewhere' ? claim.holder.term : journal?.term;
     const fields = { owner: null, ...(term === undefined ? {} : { term }) };
-    const change = await store.replace(id, made, fields, () => true);
+    const change = await store.replace(id, created, fields, () => true);
     log.state('job-passed-to-holder', { job: id, term: term ?? 0, outcome: change.kind });
     await peers.offerReleased(id);
   }
@@ -212,31 +212,31 @@
    * Whether no other zone has accepted a job that the store may not have, since callers may retry a
    * submission at any node. Zones that do not answer are queried again until a timeout.
    */
-  private async isUnknownToOtherZones(job: string, wanted: StillWanted): Promise<boolean> {
+  private async isAbsentInOtherZones(job: string, isStillNeeded: StillNeeded): Promise<boolean> {
     const { journals, clock } = this.options;
     if (journals === undefined) return true;
-    const limit = clock.now() + ZONES_ANSWER_LIMIT;
+    const limit = clock.now() + ZONE_QUERY_TIMEOUT;
     for (;;) {
-      const sight = await journals.entryStatusInOtherZones(job);
-      if (sight !== 'unsure') return sight === 'not-held';
-      if (!wanted() || clock.now() >= limit) return false;
-      await clock.sleep(ZONES_RETRY_PAUSE);
+      const status = await journals.entryStatusInOtherZones(job);
+      if (status !== 'unsure') return status === 'not-held';
+      if (!isStillNeeded() || clock.now() >= limit) return false;
+      await clock.sleep(ZONE_QUERY_RETRY_DELAY);
     }
   }
 
   /** Response to a job that another node may have accepted; only the store can confirm that. */
-  private async answerAsKnown(spec: JobSpecification): Promise<Failure | undefined> {
+  private async answerFromStore(spec: JobSpecification): Promise<Failure | undefined> {
     const read = await this.options.store.head(spec.id);
-    if (read.kind !== 'found') return TAKEN_ELSEWHERE;
-    return belongsElsewhere(spec, read.value.head.tenant);
+    if (read.kind !== 'found') return MAY_BE_ACCEPTED_ELSEWHERE;
+    return tenantConflict(spec, read.value.head.tenant);
   }
 
   /** Stores a job in the zone's journal until the store has it; returns whether it is journaled. */
-  private async takeInByJournal(
+  private async acceptByJournal(
     job: OwnedJob,
     journal: JobJournal,
     creation: Promise<HeadChange>,
-    wanted: StillWanted,
+    isStillNeeded: StillNeeded,
   ): Promise<boolean> {
     const { clock, log, metrics, owned, peers } = this.options;
     const { spec } = job;
@@ -245,19 +245,19 @@
       isSettled = true;
     });
     const entry = createdEntry(spec, journal);
-    while (!isSettled && wanted()) {
+    while (!isSettled && isStillNeeded()) {
       const outcome = await journal.append([entry]);
       if (outcome === 'lost') return false;
       if (outcome === 'kept' && !isSettled) {
-        this.steps.note(spec);
-        owned.keepJournaled(job);
+        this.steps.record(spec);
+        owned.attachJournaled(job);
         log.state('job-journaled', { job: spec.id, step: spec.step, items: spec.items.length });
         metrics.count('journaled_changes', { change: entry.kind });
         peers.reportWeightNeed(weightNeedOf(spec));
         return true;
       }
       if (outcome === 'kept') await journal.release([entry]);
-      else await clock.sleep(JOURNAL_RETRY_PAUSE);
+      else await clock.sleep(JOURNAL_RETRY_DELAY);
     }
     return false;
   }
@@ -279,7 +279,7 @@
   private async startEarly(
     spec: JobSpecification,
     creation: Promise<HeadChange>,
-    kept: Promise<ReadonlyMap<string, DigestedWork>>,
+    cachedWork: Promise<ReadonlyMap<string, DigestedWork>>,
     journal: JobJournal | undefined,
   ): Promise<OwnedJob | undefined> {
     const isSettled = await Promise.race([
@@ -289,53 +289,55 @@
     if (isSettled) return undefined;
     this.options.log.state('job-started-early', { job: spec.id, step: spec.step });
     const { owned } = this.options;
-    return owned.startEarly(spec, owned.keptWork(spec, {}, await kept), { journal });
+    return owned.startEarly(spec, owned.earlierWork(spec, {}, await cachedWork), { journal });
   }
 
-  private async ownCreated(
+  private async addCreated(
     spec: JobSpecification,
     head: VersionedHead,
     early: OwnedJob | undefined,
-    kept: Promise<ReadonlyMap<string, DigestedWork>>,
+    cachedWork: Promise<ReadonlyMap<string, DigestedWork>>,
     journal: JobJournal | undefined,
   ): Promise<void> {
     const { owned, peers } = this.options;
-    if (early !== undefined) owned.keepEarly(early, head);
-    else owned.own(spec, head, [], owned.keptWork(spec, {}, await kept), { journal });
+    if (early !== undefined) owned.attachEarly(early, head);
+    else owned.add(spec, head, [], owned.earlierWork(spec, {}, await cachedWork), { journal });
     peers.reportWeightNeed(weightNeedOf(spec));
   }
 
-  private noteSubmitted(spec: JobSpecification, change: HeadChange, took: Milliseconds): void {
+  private noteSubmitted(spec: JobSpecification, change: HeadChange, duration: Milliseconds): void {
     const { log, metrics } = this.options;
     const { id: job, step, items } = spec;
-    const details = { job, step, items: items.length, tookMs: Math.round(took) };
+    const details = { job, step, items: items.length, tookMs: Math.round(duration) };
     log.decision('job-submitted', { ...details, outcome: change.kind });
     metrics.count('jobs_submitted', { outcome: change.kind });
-    metrics.observe('submit_seconds', {}, took);
+    metrics.observe('submit_seconds', {}, duration);
   }
 
-  private handOver(spec: JobSpecification): Promise<void> {
+  private offerReleased(spec: JobSpecification): Promise<void> {
     const { peers, residency } = this.options;
     return peers.offerReleased(spec.id, residency.regionsForSpec(spec));
   }
 
   /** Work that other nodes have cached on the items; a trainer's first step has none. */
-  private async keptElsewhere(spec: JobSpecification): Promise<ReadonlyMap<string, DigestedWork>> {
+  private async cachedElsewhere(
+    spec: JobSpecification,
+  ): Promise<ReadonlyMap<string, DigestedWork>> {
     if (spec.step === 0) return new Map();
     return this.options.peers.cachedWork(spec.items.map((item) => item.id));
   }
 }
 
 /** Whether another node has claimed the job since; false without a journal. */
-async function isLost(journal: JobJournal | undefined): Promise<boolean> {
+async function hasLostClaim(journal: JobJournal | undefined): Promise<boolean> {
   return journal !== undefined && (await journal.append([])) === 'lost';
 }
 
-const NOT_IN_THIS_REGION = failure('region_unavailable', 'the job may not lie in this region');
-const TAKEN_ELSEWHERE = failure('outcome_unknown', 'another node may have taken the job');
+const REGION_DENIED = failure('region_unavailable', 'the job may not lie in this region');
+const MAY_BE_ACCEPTED_ELSEWHERE = failure('outcome_unknown', 'another node may have taken the job');
 
 /** Rejects a job whose id another tenant uses, without revealing that job. */
-export function belongsElsewhere(
+export function tenantConflict(
   spec: JobSpecification,
   tenant: TenantName | undefined,
 ): Failure | undefined {
@@ -352,9 +354,9 @@
 ): HeadFields {
   const { submittedAt, items, tenant } = spec;
   const head = { owner, zone, total: items.length, listed: 0, pages: 0, ended: false, submittedAt };
-  const whose = tenant === undefined ? head : { ...head, tenant };
-  if (journal === undefined) return whose;
-  return { ...whose, term: journal.term, replicas: [...journal.replicas] };
+  const headWithTenant = tenant === undefined ? head : { ...head, tenant };
+  if (journal === undefined) return headWithTenant;
+  return { ...headWithTenant, term: journal.term, replicas: [...journal.replicas] };
 }
 
 function createdEntry(spec: JobSpecification, journal: JobJournal): JournalEntry {
--- a/src/jobs/job-handover.ts
+++ b/src/jobs/job-transfer.ts
@@ -9,7 +9,7 @@
 import type { FleetMetrics } from '../telemetry/fleet-metrics.js';
 import type { JobPeers } from './job-peers.js';
 import { isFinished, type JobHead, type JobOwner, weightNeedOf } from './job-records.js';
-import type { JobStore, StillWanted, VersionedHead } from './job-store.js';
+import type { JobStore, StillNeeded, VersionedHead } from './job-store.js';
 import type { ListingChange } from './listing-writer.js';
 import type { OwnedJob } from './owned-job.js';
 import type { OwnedJobs } from './owned-jobs.js';
@@ -21,8 +21,8 @@
   readonly entries: readonly JournalEntry[];
 }
 
-/** Options of {@link JobHandover}. */
-export interface JobHandoverOptions {
+/** Options of {@link JobTransfer}. */
+export interface JobTransferOptions {
   readonly store: JobStore;
   readonly owned: OwnedJobs;
   readonly peers: JobPeers;
@@ -36,29 +36,31 @@
 }
 
 /** Takes over jobs from other owners and transfers own jobs to other nodes. */
-export class JobHandover {
-  private readonly adopting = new Set<string>();
-  private isMoving = false;
+export class JobTransfer {
+  private readonly jobsInTakeover = new Set<string>();
+  private isTransferring = false;
 
-  constructor(private readonly options: JobHandoverOptions) {}
+  constructor(private readonly options: JobTransferOptions) {}
 
   /** Whether this node is taking over a job. */
-  isAdopting(job: string): boolean {
-    return this.adopting.has(job);
+  isTakingOver(job: string): boolean {
+    return this.jobsInTakeover.has(job);
   }
 
   /**
    * Takes over a job; returns whether this node owns it now. Concurrent calls for one job return
    * false. An owner that still answers is asked for its unlisted results and progress.
    */
-  async adopt(job: string, found: VersionedHead, ownerAnswers: boolean): Promise<boolean> {
-    if (this.adopting.has(job) || !this.mayAdopt(job, found.head)) return false;
-    this.adopting.add(job);
-    return this.takeOver(job, found, ownerAnswers).finally(() => this.adopting.delete(job));
+  async takeOver(job: string, found: VersionedHead, ownerAnswers: boolean): Promise<boolean> {
+    if (this.jobsInTakeover.has(job) || !this.mayTakeOver(job, found.head)) return false;
+    this.jobsInTakeover.add(job);
+    return this.performTakeover(job, found, ownerAnswers).finally(() =>
+      this.jobsInTakeover.delete(job),
+    );
   }
 
   /** Whether this node may store the job, decided by its head so that nothing else is read. */
-  private mayAdopt(job: string, head: JobHead): boolean {
+  private mayTakeOver(job: string, head: JobHead): boolean {
     const { residency, log } = this.options;
     const allowed = residency.regionsForOrigin(head);
     if (residency.mayHoldHere(allowed)) return true;
@@ -66,7 +68,7 @@
     return false;
   }
 
-  private async takeOver(
+  private async performTakeover(
     job: string,
     found: VersionedHead,
     ownerAnswers: boolean,
@@ -74,31 +76,31 @@
     const { store, owned, peers, self, log, metrics, clock } = this.options;
     const claimed = await this.claimJournal(job, found.head);
     if (claimed === 'not-claimed') return false;
-    const wanted = (): boolean => false;
+    const isStillNeeded = (): boolean => false;
     const fields = {
       owner: self,
       ...(claimed === undefined ? {} : { term: claimed.journal.term }),
     };
-    const change = await store.replace(job, found, fields, wanted);
+    const change = await store.replace(job, found, fields, isStillNeeded);
     if (change.kind !== 'changed') return false;
     const { owner } = found.head;
-    const asksOwner = ownerAnswers && owner !== null;
-    const [surrendered, spec, results, progress] = await Promise.all([
-      asksOwner ? peers.releaseAtOwner(owner, job) : undefined,
+    const isOwnerAsked = ownerAnswers && owner !== null;
+    const [released, spec, results, progress] = await Promise.all([
+      isOwnerAsked ? peers.releaseAtOwner(owner, job) : undefined,
       untilAvailable(clock, () => store.specification(job)),
       untilAvailable(clock, () => store.results(job, 0)),
       untilAvailable(clock, () => store.progress(job)),
     ]);
     if (spec === undefined) return false;
     const listed = (results ?? []).flat();
-    const resumed = changesBeyond(claimed?.entries ?? [], change.current.head.pages);
-    const kept = owned.keptWork(spec, progress ?? {}, surrendered);
-    owned.own(spec, change.current, listed, kept, { journal: claimed?.journal, resumed });
+    const resumed = changesAfter(claimed?.entries ?? [], change.current.head.pages);
+    const initialWork = owned.earlierWork(spec, progress ?? {}, released);
+    owned.add(spec, change.current, listed, initialWork, { journal: claimed?.journal, resumed });
     peers.reportWeightNeed(weightNeedOf(spec));
     const previous = found.head.owner?.node ?? 'none';
-    const details = { job, previous, listed: listed.length, handed: surrendered?.size ?? 0 };
+    const details = { job, previous, listed: listed.length, handed: released?.size ?? 0 };
     log.state('job-adopted', { ...details, journaled: resumed.length });
-    metrics.count('jobs_adopted', { cause: causeOf(owner, ownerAnswers) });
+    metrics.count('jobs_adopted', { cause: takeoverCauseOf(owner, ownerAnswers) });
     return true;
   }
 
@@ -127,54 +129,55 @@
   async takeReleased(job: string): Promise<boolean> {
     const read = await this.options.store.head(job);
     if (read.kind !== 'found' || isFinished(read.value.head)) return false;
-    return read.value.head.owner === null && this.adopt(job, read.value, false);
+    return read.value.head.owner === null && this.takeOver(job, read.value, false);
   }
 
   /** Releases all open jobs and offers them to other nodes. */
-  async release(wanted: StillWanted): Promise<void> {
+  async release(isStillNeeded: StillNeeded): Promise<void> {
     const open = this.options.owned.all().filter((job) => job.isOpen);
     await Promise.all(
       open.map(async (job) => {
-        await job.release(wanted);
+        await job.release(isStillNeeded);
         const allowed = this.options.residency.regionsForSpec(job.spec);
-        if (job.ending === 'released') await this.options.peers.offerReleased(job.spec.id, allowed);
+        if (job.closeReason === 'released')
+          await this.options.peers.offerReleased(job.spec.id, allowed);
       }),
     );
   }
 
   /** Transfers jobs that the current configuration does not allow on this node. */
-  async moveMisplaced(): Promise<void> {
+  async transferMisplaced(): Promise<void> {
     const { owned, residency } = this.options;
-    if (!residency.limitsRegions || this.isMoving) return;
-    this.isMoving = true;
+    if (!residency.limitsRegions || this.isTransferring) return;
+    this.isTransferring = true;
     for (const job of owned.all()) {
       const allowed = residency.regionsForSpec(job.spec);
-      if (job.isOpen && !residency.mayHoldHere(allowed)) await this.moveAway(job, allowed);
+      if (job.isOpen && !residency.mayHoldHere(allowed)) await this.transfer(job, allowed);
     }
-    this.isMoving = false;
+    this.isTransferring = false;
   }
 
-  private async moveAway(job: OwnedJob, allowed: AllowedRegions): Promise<void> {
+  private async transfer(job: OwnedJob, allowed: AllowedRegions): Promise<void> {
     const { peers, self, log, metrics } = this.options;
-    const isMoved = await peers.transferMisplaced(job.spec.id, self, allowed);
-    metrics.count('jobs_moved_by_region', { outcome: isMoved ? 'moved' : 'not-taken' });
+    const isTransferred = await peers.transferMisplaced(job.spec.id, self, allowed);
+    metrics.count('jobs_moved_by_region', { outcome: isTransferred ? 'moved' : 'not-taken' });
     const allowedRegions = allowed?.join() ?? 'any';
-    if (isMoved) log.state('job-moved-by-region', { job: job.spec.id, allowedRegions });
+    if (isTransferred) log.state('job-moved-by-region', { job: job.spec.id, allowedRegions });
   }
 }
 
 /** Journal changes that the store does not have yet, in listing order. */
-export function changesBeyond(entries: readonly JournalEntry[], pages: number): ListingChange[] {
+export function changesAfter(entries: readonly JournalEntry[], pages: number): ListingChange[] {
   const changes = entries.filter((entry) => entry.kind !== 'created');
   const isNew = (change: ListingChange): boolean =>
     change.kind !== 'page' || change.number >= pages;
-  const placeOf = (change: ListingChange): number =>
+  const positionOf = (change: ListingChange): number =>
     change.kind === 'page' ? change.number : Number.POSITIVE_INFINITY;
-  return changes.filter(isNew).sort((a, b) => placeOf(a) - placeOf(b));
+  return changes.filter(isNew).sort((a, b) => positionOf(a) - positionOf(b));
 }
 
 /** Label of the takeover counter. */
-function causeOf(owner: JobOwner | null, ownerAnswers: boolean): string {
+function takeoverCauseOf(owner: JobOwner | null, ownerAnswers: boolean): string {
   if (owner === null) return 'released';
   return ownerAnswers ? 'cut-off' : 'lost';
 }
--- a/src/jobs/journal-recovery.ts
+++ b/src/jobs/journal-recovery.ts
@@ -10,14 +10,14 @@
 import type { JobResidency } from '../placement/job-residency.js';
 import type { DecisionLog } from '../telemetry/decision-log.js';
 import type { FleetMetrics } from '../telemetry/fleet-metrics.js';
-import { changesBeyond } from './job-handover.js';
 import type { JobPeers } from './job-peers.js';
 import { isFinished, type JobOwner, weightNeedOf } from './job-records.js';
 import type { JobStore, VersionedHead } from './job-store.js';
+import { changesAfter } from './job-transfer.js';
 import type { OwnedJobs } from './owned-jobs.js';
 
 /** Interval between scans, which find only jobs and results that the store does not have. */
-const LOOK_INTERVAL: Milliseconds = 3_000;
+const SCAN_INTERVAL: Milliseconds = 3_000;
 
 /** Options of {@link JournalRecovery}. */
 export interface JournalRecoveryOptions {
@@ -32,28 +32,28 @@
   /** Whether the node incarnation that wrote to the journal is live. */
   readonly isWriterLive: (writer: string) => boolean;
   /** Whether this node runs jobs and reaches the store. */
-  readonly mayRecover: () => boolean;
+  readonly canRecover: () => boolean;
 }
 
 /** Scans the zone's journals for jobs without a live owner. */
 export class JournalRecovery {
-  private isLooking = false;
-  private nextLookAt: Milliseconds = 0;
+  private isScanning = false;
+  private nextScanAt: Milliseconds = 0;
 
   constructor(private readonly options: JournalRecoveryOptions) {}
 
   /** Starts a scan if one is due. */
   tick(now: Milliseconds): void {
-    if (now < this.nextLookAt || this.isLooking || !this.options.mayRecover()) return;
-    this.nextLookAt = now + LOOK_INTERVAL;
-    this.isLooking = true;
-    void this.look().finally(() => {
-      this.isLooking = false;
+    if (now < this.nextScanAt || this.isScanning || !this.options.canRecover()) return;
+    this.nextScanAt = now + SCAN_INTERVAL;
+    this.isScanning = true;
+    void this.scan().finally(() => {
+      this.isScanning = false;
     });
   }
 
   /** Recovers all journaled jobs that have no live owner. */
-  async look(): Promise<void> {
+  async scan(): Promise<void> {
     const { journals, owned, isWriterLive } = this.options;
     for (const holder of await journals.unsyncedHolders()) {
       if (isWriterLive(holder.writer) || owned.get(holder.job) !== undefined) continue;
@@ -72,7 +72,7 @@
     const claim = await journal.claim();
     if (claim.kind !== 'claimed') return;
     if (read.kind === 'found') await this.completeListing(journal, claim.entries, read.value);
-    else await this.adopt(journal, claim.entries);
+    else await this.recoverJob(journal, claim.entries);
   }
 
   /** Lists journaled results of a job that was cancelled in the store before it had them. */
@@ -86,7 +86,7 @@
     const own = new Set(journals.replicasInOwnZone().map(({ disk }) => disk));
     // Entries in replicas that the job's head does not name are not results of the job.
     const isOfJob = replicas.some(({ disk }) => own.has(disk));
-    const changes = isOfJob ? changesBeyond(entries, stored) : [];
+    const changes = isOfJob ? changesAfter(entries, stored) : [];
     const pages = changes.flatMap((change) => (change.kind === 'page' ? [change.results] : []));
     if (pages.length > 0) {
       const extension = { pages, ended: true };
@@ -98,7 +98,7 @@
     await journal.release(entries);
   }
 
-  private async adopt(journal: JobJournal, entries: readonly JournalEntry[]): Promise<void> {
+  private async recoverJob(journal: JobJournal, entries: readonly JournalEntry[]): Promise<void> {
     const { store, owned, peers, self, log, metrics, journals } = this.options;
     const created = entries.find((entry) => entry.kind === 'created');
     if (created === undefined) return;
@@ -112,9 +112,9 @@
     };
     const change = await store.create(spec, head, () => false);
     if (change.kind !== 'changed') return;
-    const resumed = changesBeyond(entries, 0);
-    const kept = owned.keptWork(spec, {});
-    owned.own(spec, change.current, [], kept, {
+    const resumed = changesAfter(entries, 0);
+    const initialWork = owned.earlierWork(spec, {});
+    owned.add(spec, change.current, [], initialWork, {
       journal: journals.open(spec.id, replicas, journal.term),
       resumed,
     });
--- a/src/jobs/listing-writer.ts
+++ b/src/jobs/listing-writer.ts
@@ -25,10 +25,10 @@
 export const JOURNAL_DELAY: Milliseconds = 150;
 
 /** Delay before a change that not enough replicas stored is written to them again. */
-export const JOURNAL_RETRY_PAUSE: Milliseconds = 150;
+export const JOURNAL_RETRY_DELAY: Milliseconds = 150;
 
 /** Maximum pages in one commit; four pages of 400 KB are below the store's request limit. */
-const MOST_PAGES_A_COMMIT = 4;
+const MAX_PAGES_PER_COMMIT = 4;
 
 /** Options of {@link ListingWriter}. */
 export interface ListingWriterOptions {
@@ -41,11 +41,11 @@
   /** Progress of unfinished items, stored with each commit. */
   readonly progress: () => StoredProgress;
   /** Whether to keep retrying commits whose changes are not journaled. */
-  readonly isWanted: () => boolean;
+  readonly isStillNeeded: () => boolean;
   /** Whether this node is still the owner, with all listed pages, after another node's change. */
-  readonly isOwnChange: (change: HeadChange) => boolean;
+  readonly keepsOwnership: (change: HeadChange) => boolean;
   /** Called when this node or another has changed the head in the store. */
-  readonly noteHead: (change: HeadChange) => void;
+  readonly onHeadChange: (change: HeadChange) => void;
 }
 
 /** A change that the store does not have yet. */
@@ -55,14 +55,14 @@
   isJournaled: boolean;
   /** Whether the outcome is known: durable in the journal or the store, or dropped. */
   isSettled: boolean;
-  readonly settle: (holds: boolean) => void;
+  readonly settle: (isDurable: boolean) => void;
 }
 
 /** Writes the changes of one job. */
 export class ListingWriter {
   private readonly queue: QueuedChange[] = [];
   private isFlushing = false;
-  private isEnded = false;
+  private isSuperseded = false;
 
   /** `current` is undefined until the store has the job. */
   constructor(
@@ -76,7 +76,7 @@
   }
 
   /** Whether changes are queued for the store. */
-  get isBusy(): boolean {
+  get isPending(): boolean {
     return this.queue.length > 0;
   }
 
@@ -87,7 +87,7 @@
   }
 
   /** Sets the head after the store has accepted the job or another node has changed it. */
-  take(head: VersionedHead): void {
+  setHead(head: VersionedHead): void {
     this.current = head;
     void this.flush();
   }
@@ -106,7 +106,7 @@
   }
 
   /** Cancels the job; resolves with whether the cancellation is durable. */
-  end(): Promise<boolean> {
+  cancel(): Promise<boolean> {
     return this.write({ kind: 'ended' });
   }
 
@@ -121,24 +121,24 @@
         change,
         isJournaled: false,
         isSettled: false,
-        settle: (holds) => {
+        settle: (isDurable) => {
           if (queued.isSettled) return;
           queued.isSettled = true;
-          resolve(holds);
+          resolve(isDurable);
         },
       };
       this.queue.push(queued);
       void this.flush();
-      void this.journalWhileSilent(queued);
+      void this.journalIfDelayed(queued);
     });
   }
 
   /** Writes a change to the journal if the store has not accepted it after a delay. */
-  private async journalWhileSilent(queued: QueuedChange): Promise<void> {
+  private async journalIfDelayed(queued: QueuedChange): Promise<void> {
     const { journal, clock, metrics } = this.options;
     if (journal === undefined) return;
     await clock.sleep(JOURNAL_DELAY);
-    while (!queued.isSettled && !this.isEnded) {
+    while (!queued.isSettled && !this.isSuperseded) {
       const outcome = await journal.append([queued.change]);
       if (outcome === 'lost') return;
       if (outcome === 'kept' && queued.isSettled) {
@@ -152,7 +152,7 @@
         queued.settle(true);
         return;
       }
-      await clock.sleep(JOURNAL_RETRY_PAUSE);
+      await clock.sleep(JOURNAL_RETRY_DELAY);
     }
   }
 
@@ -160,7 +160,7 @@
   private async flush(): Promise<void> {
     if (this.isFlushing) return;
     this.isFlushing = true;
-    while (this.queue.length > 0 && this.current !== undefined && !this.isEnded) {
+    while (this.queue.length > 0 && this.current !== undefined && !this.isSuperseded) {
       const batch = this.nextBatch();
       const base = this.current;
       const change = await this.options.store.extend(
@@ -168,9 +168,9 @@
         base,
         extensionOf(batch.map((queued) => queued.change)),
         this.options.progress(),
-        () => this.options.isWanted() || batch.some(({ isJournaled }) => isJournaled),
+        () => this.options.isStillNeeded() || batch.some(({ isJournaled }) => isJournaled),
       );
-      this.takeOutcome(batch, change);
+      this.handleOutcome(batch, change);
     }
     this.isFlushing = false;
   }
@@ -180,31 +180,31 @@
     const batch: QueuedChange[] = [];
     for (const queued of this.queue) {
       if (queued.change.kind === 'page') pages += 1;
-      if (pages > MOST_PAGES_A_COMMIT) break;
+      if (pages > MAX_PAGES_PER_COMMIT) break;
       batch.push(queued);
     }
     return batch;
   }
 
-  private takeOutcome(batch: readonly QueuedChange[], change: HeadChange): void {
+  private handleOutcome(batch: readonly QueuedChange[], change: HeadChange): void {
     if (change.kind === 'changed') {
       this.current = change.current;
       this.queue.splice(0, batch.length);
       const journaled = batch.filter(({ isJournaled }) => isJournaled);
       void this.options.journal?.release(journaled.map((queued) => queued.change));
-      this.options.noteHead(change);
+      this.options.onHeadChange(change);
       for (const queued of batch) queued.settle(true);
       return;
     }
-    const isOwn = this.options.isOwnChange(change);
-    this.options.noteHead(change);
+    const isStillOwner = this.options.keepsOwnership(change);
+    this.options.onHeadChange(change);
     if (change.kind === 'superseded' && change.current !== undefined) this.current = change.current;
     // Even if another node has cancelled the job, journaled results must reach the store.
-    const told = isOwn ? this.queue.filter(({ isJournaled }) => isJournaled) : [];
-    for (const queued of this.queue.splice(0, this.queue.length, ...told)) {
+    const remaining = isStillOwner ? this.queue.filter(({ isJournaled }) => isJournaled) : [];
+    for (const queued of this.queue.splice(0, this.queue.length, ...remaining)) {
       if (!queued.isJournaled) queued.settle(false);
     }
-    this.isEnded = !isOwn;
+    this.isSuperseded = !isStillOwner;
   }
 }
 
--- a/src/jobs/owned-item.ts
+++ b/src/jobs/owned-item.ts
@@ -17,7 +17,7 @@
   readonly item: JobItem;
   readonly progress: ItemProgress;
   /** The request of its runs, for crash attribution; identical on every owner and in later jobs. */
-  readonly asked: FingerprintedRequest;
+  readonly fingerprinted: FingerprintedRequest;
   state: OwnedItemState;
   run: ItemRun | undefined;
   /** Earliest time of the next run. */
@@ -25,11 +25,11 @@
   /** Number of responses that reported a failed attempt. */
   failedAttempts: number;
   /** Number of times that a run was moved to another worker. */
-  moves: number;
+  moveCount: number;
   /** Whether the last run ended before any response byte, possibly on a dead connection. */
   wasUnanswered: boolean;
   /** Whether a run was already moved because another worker was moderately faster. */
-  hasGoneFaster: boolean;
+  wasMovedToFaster: boolean;
   /** The complete text without its score; only while `unscored`. */
   text: JobResult | undefined;
   /** The score calls; only while `unscored`. */
@@ -42,7 +42,7 @@
   rule: VersionRule,
   { host, tenant }: Pick<JobSpecification, 'host' | 'tenant'>,
 ): OwnedItem {
-  const asked = new FingerprintedRequest(() => ({
+  const fingerprinted = new FingerprintedRequest(() => ({
     method: 'POST',
     host,
     path: item.path,
@@ -51,22 +51,22 @@
   }));
   return {
     item,
-    asked,
+    fingerprinted: fingerprinted,
     progress: new ItemProgress(rule),
     state: 'waiting',
     run: undefined,
     notBefore: 0,
     failedAttempts: 0,
-    moves: 0,
+    moveCount: 0,
     wasUnanswered: false,
-    hasGoneFaster: false,
+    wasMovedToFaster: false,
     text: undefined,
     scoring: undefined,
   };
 }
 
 /** Whether the text of an item is incomplete. */
-export function lacksText({ state }: OwnedItem): boolean {
+export function isTextIncomplete({ state }: OwnedItem): boolean {
   return state === 'waiting' || state === 'running';
 }
 
--- a/src/jobs/owned-job.ts
+++ b/src/jobs/owned-job.ts
@@ -7,20 +7,20 @@
 import type { Clock } from '../serving/clock.js';
 import { fitsVersions, type VersionRule } from './item-progress.js';
 import type { ItemWork } from './item-work-cache.js';
-import { JobListing, type JournaledWork, type OwnershipEnd } from './job-listing.js';
+import { type CloseReason, JobListing, type JournalState } from './job-listing.js';
 import type { JobOwner, JobResult, JobSpecification, StoredProgress } from './job-records.js';
-import type { JobStore, StillWanted, VersionedHead } from './job-store.js';
-import { cancelWork, lacksText, newOwnedItem, type OwnedItem } from './owned-item.js';
+import type { JobStore, StillNeeded, VersionedHead } from './job-store.js';
+import { cancelWork, isTextIncomplete, newOwnedItem, type OwnedItem } from './owned-item.js';
 import { storableProgress } from './value-limits.js';
 
 /** Share of incomplete items below which the remaining runs count as the job's longest. */
-const LONGEST_SHARE = 0.5;
+const REMAINING_SHARE = 0.5;
 
 /**
  * Age of the last ownership confirmation above which no items are sent. Items may reach workers for
  * at most 3 s after the job's cancellation, and the ownership is verified every 1.2 s.
  */
-const MOST_UNCONFIRMED: Milliseconds = 2_000;
+const MAX_CONFIRMATION_AGE: Milliseconds = 2_000;
 
 /** A job that this node owns. */
 export class OwnedJob {
@@ -30,7 +30,7 @@
   /** Emits after results are listed and when the job closes. */
   readonly changed = new Subject<void>();
   private readonly listing: JobListing;
-  private endReason: OwnershipEnd | undefined;
+  private recordedReason: CloseReason | undefined;
 
   constructor(
     readonly spec: JobSpecification,
@@ -40,15 +40,15 @@
     self: JobOwner,
     store: JobStore,
     clock: Clock,
-    kept: ReadonlyMap<string, ItemWork> = new Map(),
-    journaled: JournaledWork = {},
+    earlierWork: ReadonlyMap<string, ItemWork> = new Map(),
+    journaled: JournalState = {},
   ) {
     this.listing = new JobListing({
       ...{ spec, head, listed, journaled, self, store, clock },
-      progress: () => storableProgress(this.keptProgress()),
+      progress: () => storableProgress(this.unfinishedProgress()),
       isOpen: () => this.isOpen,
       close: (reason) => this.close(reason),
-      noteChanged: () => this.changed.next(),
+      onListed: () => this.changed.next(),
     });
     const done = new Set(this.results.map((result) => result.id));
     this.meanExpectedLength = meanLengthOf(spec);
@@ -56,33 +56,33 @@
       if (done.has(item.id)) continue;
       const entry = newOwnedItem(item, rule, this.spec);
       this.items.set(item.id, entry);
-      this.takeOver(entry, kept.get(item.id), rule);
+      this.restoreWork(entry, earlierWork.get(item.id), rule);
     }
     this.listing.resume();
   }
 
   /** Restores earlier work on an item if its weight versions fit. */
-  private takeOver(entry: OwnedItem, kept: ItemWork | undefined, rule: VersionRule): void {
-    if (kept?.kind === 'unfinished' && entry.progress.restore(kept.progress)) {
-      if (entry.progress.isWhole) this.completeText(entry);
+  private restoreWork(entry: OwnedItem, earlier: ItemWork | undefined, rule: VersionRule): void {
+    if (earlier?.kind === 'unfinished' && entry.progress.restore(earlier.progress)) {
+      if (entry.progress.isComplete) this.completeText(entry);
     }
-    if (kept?.kind !== 'finished' || !fitsVersions(kept.result.versions, rule)) return;
-    this.finish(entry, kept.result);
+    if (earlier?.kind !== 'finished' || !fitsVersions(earlier.result.versions, rule)) return;
+    this.finish(entry, earlier.result);
   }
 
   /** Whether this node runs the job's items. */
   get isOpen(): boolean {
-    return this.endReason === undefined;
+    return this.recordedReason === undefined;
   }
 
   /** Whether this node runs items or still has listed changes to store. */
   get isActive(): boolean {
-    return this.isOpen || this.listing.isUnsettled;
+    return this.isOpen || this.listing.hasUnstoredChanges;
   }
 
   /** Why this node no longer runs the job; `undefined` while it does. */
-  get ending(): OwnershipEnd | undefined {
-    return this.endReason;
+  get closeReason(): CloseReason | undefined {
+    return this.recordedReason;
   }
 
   /** Results listed so far. */
@@ -126,18 +126,18 @@
   }
 
   /** Closes the job after another node has cancelled it for this one. */
-  noteEnded(): void {
+  noteCancelledElsewhere(): void {
     this.close('ended-elsewhere');
   }
 
   /** Whether the job is cancelled. */
-  get hasEnded(): boolean {
-    return this.endReason === 'ended' || this.endReason === 'ended-elsewhere';
+  get isCancelled(): boolean {
+    return this.recordedReason === 'ended' || this.recordedReason === 'ended-elsewhere';
   }
 
   /** Whether this node has all listed results, as far as it knows. */
-  get mayAnswer(): boolean {
-    return this.isOpen || this.endReason === 'finished' || this.endReason === 'ended';
+  get canAnswer(): boolean {
+    return this.isOpen || this.recordedReason === 'finished' || this.recordedReason === 'ended';
   }
 
   /** Time since the ownership of the job was last confirmed. */
@@ -149,8 +149,8 @@
    * Whether another node may have cancelled the job or taken it over unnoticed. No items are sent
    * until the ownership is confirmed.
    */
-  get isDoubtful(): boolean {
-    return this.confirmationAge() > MOST_UNCONFIRMED;
+  get isUnconfirmed(): boolean {
+    return this.confirmationAge() > MAX_CONFIRMATION_AGE;
   }
 
   /** Items that may be sent now. */
@@ -162,14 +162,14 @@
 
   /** Whether most texts are complete and all others are running. */
   get isClosing(): boolean {
-    const open = [...this.items.values()].filter(lacksText);
-    const isMostDone = open.length <= this.spec.items.length * LONGEST_SHARE;
-    return isMostDone && open.every((entry) => entry.state === 'running');
+    const incomplete = [...this.items.values()].filter(isTextIncomplete);
+    const areMostComplete = incomplete.length <= this.spec.items.length * REMAINING_SHARE;
+    return areMostComplete && incomplete.every((entry) => entry.state === 'running');
   }
 
   /** Finishes an item whose text is complete, or marks it as unscored. */
   completeText(entry: OwnedItem): void {
-    entry.progress.markWhole();
+    entry.progress.markComplete();
     const text = entry.progress.toResult(entry.item.id);
     if (entry.item.scoreRequest === undefined) {
       this.finish(entry, text);
@@ -196,19 +196,19 @@
   }
 
   /** Cancels the job; resolves with whether the cancellation is stored. */
-  end(wanted: StillWanted): Promise<boolean> {
-    return this.listing.end(wanted);
+  cancel(isStillNeeded: StillNeeded): Promise<boolean> {
+    return this.listing.cancel(isStillNeeded);
   }
 
   /** Whether this node can cancel the job: it runs the job, or has listed all results. */
-  get mayBeEnded(): boolean {
-    return this.isOpen || this.endReason === 'finished';
+  get canCancel(): boolean {
+    return this.isOpen || this.recordedReason === 'finished';
   }
 
   /** Stops all runs and releases the job, with the progress of its items, for another node. */
-  release(wanted: StillWanted): Promise<void> {
+  release(isStillNeeded: StillNeeded): Promise<void> {
     this.stopRuns();
-    return this.listing.release(wanted);
+    return this.listing.release(isStillNeeded);
   }
 
   /** Verifies the ownership of the job now. */
@@ -216,9 +216,9 @@
     return this.listing.verifyNow();
   }
 
-  private close(reason: OwnershipEnd): void {
-    if (this.endReason !== undefined) return;
-    this.endReason = reason;
+  private close(reason: CloseReason): void {
+    if (this.recordedReason !== undefined) return;
+    this.recordedReason = reason;
     this.stopRuns();
     this.changed.next();
   }
@@ -233,13 +233,13 @@
   }
 
   /** Progress of unfinished items, from which another node can continue. */
-  keptProgress(): StoredProgress {
-    const kept: StoredProgress = {};
+  unfinishedProgress(): StoredProgress {
+    const unfinished: StoredProgress = {};
     for (const [id, entry] of this.items) {
-      const progress = entry.state === 'done' ? undefined : entry.progress.toKept();
-      if (progress !== undefined) kept[id] = progress;
+      const progress = entry.state === 'done' ? undefined : entry.progress.toStored();
+      if (progress !== undefined) unfinished[id] = progress;
     }
-    return kept;
+    return unfinished;
   }
 }
 
--- a/src/jobs/owned-jobs.ts
+++ b/src/jobs/owned-jobs.ts
@@ -13,13 +13,13 @@
 import type { ItemDispatcher } from './item-dispatcher.js';
 import {
   type DigestedWork,
-  digested,
-  extentOf,
+  eventCountOf,
   type ItemWork,
   ItemWorkCache,
-  workFor,
+  reusableWork,
+  withDigests,
 } from './item-work-cache.js';
-import type { JournaledWork } from './job-listing.js';
+import type { JournalState } from './job-listing.js';
 import {
   ageOf,
   isFinished,
@@ -49,17 +49,17 @@
 }
 
 /** Number of closed jobs that are retained in memory. */
-const KEPT_FINISHED_JOBS = 24;
+const MAX_RETAINED_JOBS = 24;
 
 /** The owned jobs, by id. */
 export class OwnedJobs {
   private readonly jobs = new Map<string, OwnedJob>();
-  private readonly kept: ItemWorkCache;
+  private readonly workCache: ItemWorkCache;
   private readonly residency: JobResidency;
 
   constructor(private readonly options: OwnedJobsOptions) {
     this.residency = options.residency ?? UNRESTRICTED_RESIDENCY;
-    this.kept = new ItemWorkCache(options.clock);
+    this.workCache = new ItemWorkCache(options.clock);
   }
 
   /** All owned and retained jobs. */
@@ -73,20 +73,20 @@
   }
 
   /** A job whose results this node can serve from memory. */
-  answering(job: string): OwnedJob | undefined {
+  answerable(job: string): OwnedJob | undefined {
     const own = this.jobs.get(job);
-    return own?.mayAnswer === true ? own : undefined;
+    return own?.canAnswer === true ? own : undefined;
   }
 
   /** Adds a job and runs its items. */
-  own(
+  add(
     spec: JobSpecification,
     head: VersionedHead,
     listed: readonly JobResult[],
-    kept: ReadonlyMap<string, ItemWork>,
-    journaled: JournaledWork = {},
+    earlierWork: ReadonlyMap<string, ItemWork>,
+    journaled: JournalState = {},
   ): void {
-    const job = this.makeJob(spec, head, listed, kept, journaled);
+    const job = this.makeJob(spec, head, listed, earlierWork, journaled);
     this.jobs.delete(spec.id);
     this.jobs.set(spec.id, job);
     if (!isFinished(head.head)) this.options.dispatcher.add(job);
@@ -95,22 +95,22 @@
   /** Runs the items of a job that is not stored yet; no results are listed. */
   startEarly(
     spec: JobSpecification,
-    kept: ReadonlyMap<string, ItemWork>,
-    journaled: JournaledWork = {},
+    earlierWork: ReadonlyMap<string, ItemWork>,
+    journaled: JournalState = {},
   ): OwnedJob {
-    const job = this.makeJob(spec, undefined, [], kept, journaled);
+    const job = this.makeJob(spec, undefined, [], earlierWork, journaled);
     this.options.dispatcher.add(job);
     return job;
   }
 
   /** Adds a job that was started early, after the store has accepted it. */
-  keepEarly(job: OwnedJob, head: VersionedHead): void {
+  attachEarly(job: OwnedJob, head: VersionedHead): void {
     job.attach(head);
     this.jobs.set(job.spec.id, job);
   }
 
   /** Adds a job that was started early, after the zone's journal has accepted it. */
-  keepJournaled(job: OwnedJob): void {
+  attachJournaled(job: OwnedJob): void {
     job.attachByJournal();
     this.jobs.set(job.spec.id, job);
   }
@@ -118,51 +118,51 @@
   /** Periodic work on owned jobs. */
   tick(): void {
     for (const job of this.jobs.values()) job.advance();
-    this.forgetOld();
+    this.dropOld();
   }
 
   /** Drops closed jobs that the current configuration does not allow on this node. */
-  forgetMisplaced(): void {
+  dropMisplaced(): void {
     if (!this.residency.limitsRegions) return;
     for (const job of this.all()) {
-      const mayStay = this.residency.mayHoldHere(this.residency.regionsForSpec(job.spec));
-      if (!job.isActive && !mayStay) this.jobs.delete(job.spec.id);
+      const isAllowedHere = this.residency.mayHoldHere(this.residency.regionsForSpec(job.spec));
+      if (!job.isActive && !isAllowedHere) this.jobs.delete(job.spec.id);
     }
   }
 
   /** Cached work on items, without work that `zone` may not store. */
-  keptWorkOf(items: readonly string[], zone: ZoneName | undefined): Map<string, DigestedWork> {
-    const mayTell = (origin: JobOrigin): boolean =>
+  cachedWorkOf(items: readonly string[], zone: ZoneName | undefined): Map<string, DigestedWork> {
+    const mayReceive = (origin: JobOrigin): boolean =>
       this.residency.mayHoldIn(zone, this.residency.regionsForOrigin(origin));
     const work = new Map<string, DigestedWork>();
     for (const id of items) {
-      const kept = this.kept.findById(id, mayTell);
-      if (kept !== undefined) work.set(id, kept);
+      const cached = this.workCache.findById(id, mayReceive);
+      if (cached !== undefined) work.set(id, cached);
     }
     return work;
   }
 
-  /** The most advanced earlier work on each item: stored, cached here or received from other nodes. */
-  keptWork(
+  /** The furthest earlier work on each item: stored, cached here or received from other nodes. */
+  earlierWork(
     spec: JobSpecification,
     progress: StoredProgress,
     elsewhere: ReadonlyMap<string, DigestedWork> = new Map(),
   ): Map<string, ItemWork> {
-    const kept = new Map<string, ItemWork>();
+    const earlier = new Map<string, ItemWork>();
     for (const item of spec.items) {
-      const own = progress[item.id];
-      const other = elsewhere.get(item.id);
-      const here: ItemWork | undefined =
-        own === undefined ? this.kept.find(item) : { kind: 'unfinished', progress: own };
-      const there = other === undefined ? undefined : workFor(other, item);
-      const work = extentOf(there) > extentOf(here) ? there : here;
-      if (work !== undefined) kept.set(item.id, work);
+      const stored = progress[item.id];
+      const received = elsewhere.get(item.id);
+      const localWork: ItemWork | undefined =
+        stored === undefined ? this.workCache.find(item) : { kind: 'unfinished', progress: stored };
+      const remoteWork = received === undefined ? undefined : reusableWork(received, item);
+      const work = eventCountOf(remoteWork) > eventCountOf(localWork) ? remoteWork : localWork;
+      if (work !== undefined) earlier.set(item.id, work);
     }
-    return kept;
+    return earlier;
   }
 
   /** Closes a job that another node has taken over; returns the unlisted work on its items. */
-  surrender(id: string, zone?: ZoneName): Map<string, DigestedWork> {
+  releaseTakenOver(id: string, zone?: ZoneName): Map<string, DigestedWork> {
     const job = this.jobs.get(id);
     const work = new Map<string, DigestedWork>();
     if (job === undefined) return work;
@@ -170,15 +170,15 @@
       job.abandon();
       return work;
     }
-    const progress = job.keptProgress();
+    const progress = job.unfinishedProgress();
     const finished = new Map(job.unlistedResults().map((result) => [result.id, result]));
     for (const { item } of job.items.values()) {
       const result = finished.get(item.id);
       const unfinished = progress[item.id];
       if (result?.state === 'completed') {
-        work.set(item.id, digested({ kind: 'finished', result }, item));
+        work.set(item.id, withDigests({ kind: 'finished', result }, item));
       } else if (unfinished !== undefined) {
-        work.set(item.id, digested({ kind: 'unfinished', progress: unfinished }, item));
+        work.set(item.id, withDigests({ kind: 'unfinished', progress: unfinished }, item));
       }
     }
     job.abandon();
@@ -189,42 +189,42 @@
     spec: JobSpecification,
     head: VersionedHead | undefined,
     listed: readonly JobResult[],
-    kept: ReadonlyMap<string, ItemWork>,
-    journaled: JournaledWork,
+    earlierWork: ReadonlyMap<string, ItemWork>,
+    journaled: JournalState,
   ): OwnedJob {
     const { store, clock, self, metrics } = this.options;
     const route = this.options.routes()?.match(spec.host, spec.path);
     const rule = { minVersion: spec.minVersion, singleVersion: route?.singleVersion ?? false };
-    const job = new OwnedJob(spec, head, listed, rule, self, store, clock, kept, {
+    const job = new OwnedJob(spec, head, listed, rule, self, store, clock, earlierWork, {
       ...journaled,
       metrics,
     });
-    const watching = job.changed.subscribe(() => {
+    const subscription = job.changed.subscribe(() => {
       if (job.isOpen) return;
-      watching.unsubscribe();
+      subscription.unsubscribe();
       this.noteClosed(job);
     });
     return job;
   }
 
   private noteClosed(job: OwnedJob): void {
-    const mayKeep = this.residency.mayHoldHere(this.residency.regionsForSpec(job.spec));
-    if (job.hasEnded && mayKeep) this.kept.keep(job, this.residency.originOf(job.spec));
+    const mayCache = this.residency.mayHoldHere(this.residency.regionsForSpec(job.spec));
+    if (job.isCancelled && mayCache) this.workCache.add(job, this.residency.originOf(job.spec));
     const { clock, log, metrics } = this.options;
-    metrics.count('jobs_closed', { reason: job.ending ?? 'open' });
+    metrics.count('jobs_closed', { reason: job.closeReason ?? 'open' });
     log.state('job-closed', {
       job: job.spec.id,
       step: job.spec.step,
-      reason: job.ending ?? 'open',
+      reason: job.closeReason ?? 'open',
       items: job.spec.items.length,
       listed: job.results.length,
       ageMs: Math.round(ageOf(job.spec, clock.wallTime())),
     });
   }
 
-  private forgetOld(): void {
+  private dropOld(): void {
     const closed = this.all().filter((job) => !job.isActive);
-    for (const job of closed.slice(0, Math.max(0, closed.length - KEPT_FINISHED_JOBS))) {
+    for (const job of closed.slice(0, Math.max(0, closed.length - MAX_RETAINED_JOBS))) {
       this.jobs.delete(job.spec.id);
     }
   }
--- a/src/jobs/run-mover.ts
+++ b/src/jobs/run-migrator.ts
@@ -7,7 +7,7 @@
 import type { AllowedRegions } from '../placement/allowed-regions.js';
 import type { KnownWorker } from '../serving/worker-registry.js';
 import type { ItemDispatcherOptions } from './item-dispatcher.js';
-import { isFaster, isSlow, medianPace, needsOf } from './item-placement.js';
+import { isFaster, isSlow, medianEventInterval, needsOf } from './item-placement.js';
 import type { ItemRun } from './item-run.js';
 import { ageOf } from './job-records.js';
 import type { OwnedItem } from './owned-item.js';
@@ -15,60 +15,60 @@
 import { PlacementRound } from './placement-round.js';
 
 /** Minimum age of a run that is moved from a slow worker, and maximum moves of one item. */
-const LEAST_AGE_TO_MOVE: Milliseconds = 300;
-const MOST_MOVES = 8;
+const MIN_RUN_AGE: Milliseconds = 300;
+const MAX_MOVES = 8;
 
 /** Reason for moving a run. */
 type MoveCause = 'stalled' | 'slow-worker' | 'faster-elsewhere';
 
-/** Options of {@link RunMover}. */
-export type RunMoverOptions = Pick<
+/** Options of {@link RunMigrator}. */
+export type RunMigratorOptions = Pick<
   ItemDispatcherOptions,
   'registry' | 'clock' | 'log' | 'metrics' | 'distanceCost' | 'routes'
 >;
 
 /** Migrates runs that would finish sooner on another worker. */
-export class RunMover {
-  constructor(private readonly options: RunMoverOptions) {}
+export class RunMigrator {
+  constructor(private readonly options: RunMigratorOptions) {}
 
   /** Moves all eligible runs; called periodically. */
-  moveRuns(jobs: Iterable<OwnedJob>): void {
+  migrateRuns(jobs: Iterable<OwnedJob>): void {
     const now = this.options.clock.now();
-    const median = medianPace(this.options.registry.all());
+    const median = medianEventInterval(this.options.registry.all());
     for (const job of jobs) {
       const isClosing = job.isClosing;
       for (const entry of job.items.values()) {
         const { run } = entry;
-        if (run === undefined || entry.moves >= MOST_MOVES) continue;
-        const mayGoFaster = isClosing && !entry.hasGoneFaster;
-        const cause = reasonToMove(run, median, mayGoFaster, now);
-        if (cause !== undefined) this.move(job, entry, run, cause, median);
+        if (run === undefined || entry.moveCount >= MAX_MOVES) continue;
+        const mayMoveToFaster = isClosing && !entry.wasMovedToFaster;
+        const cause = moveCauseOf(run, median, mayMoveToFaster, now);
+        if (cause !== undefined) this.migrate(job, entry, run, cause, median);
       }
     }
   }
 
   /** Cancels a run so that its item is dispatched again, if another worker can take it now. */
-  private move(
+  private migrate(
     job: OwnedJob,
     entry: OwnedItem,
     run: ItemRun,
     cause: MoveCause,
     median: Milliseconds,
   ): void {
-    const { registry, clock, log, metrics, distanceCost: wayCost } = this.options;
+    const { registry, clock, log, metrics, distanceCost } = this.options;
     const now = clock.now();
     const { worker: from } = run;
-    const others = registry
+    const candidates = registry
       .available(from.record.service)
       .filter((worker) => worker !== from && !isSlow(worker, median))
       .filter((worker) => cause !== 'faster-elsewhere' || isFaster(worker, from));
     const needs = needsOf(job, entry, this.allowedRegionsOf(job, entry));
-    const round = new PlacementRound(others, now, wayCost, registry.rules);
-    const target = round.place(needs, undefined);
+    const placementRound = new PlacementRound(candidates, now, distanceCost, registry.rules);
+    const target = placementRound.place(needs, undefined);
     if (target === undefined) return;
-    entry.moves += 1;
+    entry.moveCount += 1;
     if (cause === 'stalled') from.noteOutcome('stalled', now);
-    if (cause === 'faster-elsewhere') entry.hasGoneFaster = true;
+    if (cause === 'faster-elsewhere') entry.wasMovedToFaster = true;
     metrics.count('item_moves', { cause });
     log.decision('item-run-moved', {
       ...describeRun(job, entry, from, clock.wallTime()),
@@ -107,14 +107,14 @@
  * Why a run should move. The last runs of a closing job delay its trainer, so a moderately faster
  * worker is sufficient, once per item.
  */
-function reasonToMove(
+function moveCauseOf(
   run: ItemRun,
   median: Milliseconds,
-  mayGoFaster: boolean,
+  mayMoveToFaster: boolean,
   now: Milliseconds,
 ): MoveCause | undefined {
   if (run.isStalled(now)) return 'stalled';
-  if (now - run.startedAt < LEAST_AGE_TO_MOVE) return undefined;
+  if (now - run.startedAt < MIN_RUN_AGE) return undefined;
   if (isSlow(run.worker, median)) return 'slow-worker';
-  return mayGoFaster ? 'faster-elsewhere' : undefined;
+  return mayMoveToFaster ? 'faster-elsewhere' : undefined;
 }
--- a/src/jobs/trainer-steps.ts
+++ b/src/jobs/trainer-steps.ts
@@ -10,22 +10,22 @@
 
 /** Last accepted step of each trainer. */
 export class TrainerSteps {
-  private readonly last = new Map<string, number>();
+  private readonly lastSteps = new Map<string, number>();
 
   /** Records a job that only this node accepted. */
-  note(spec: JobSpecification): void {
+  record(spec: JobSpecification): void {
     const key = keyOf(spec);
-    this.last.set(key, Math.max(spec.step, this.last.get(key) ?? spec.step));
+    this.lastSteps.set(key, Math.max(spec.step, this.lastSteps.get(key) ?? spec.step));
   }
 
   /** Discards all steps, because callers may have used other zones meanwhile. */
-  forget(): void {
-    this.last.clear();
+  clear(): void {
+    this.lastSteps.clear();
   }
 
   /** Whether a job follows an accepted step, and so cannot have been submitted elsewhere first. */
   isNext(spec: JobSpecification): boolean {
-    const last = this.last.get(keyOf(spec));
+    const last = this.lastSteps.get(keyOf(spec));
     return last !== undefined && spec.step > last;
   }
 }
--- a/src/jobs/value-limits.ts
+++ b/src/jobs/value-limits.ts
@@ -5,10 +5,10 @@
 import type { JobResult, StoredProgress } from './job-records.js';
 
 /** Limit on the text of one page of results; the first result may exceed it. */
-const MAXIMUM_PAGE_BYTES = 400_000;
+const MAX_PAGE_BYTES = 400_000;
 
 /** Limit on the stored events of unfinished items. */
-const MAXIMUM_KEPT_BYTES = 600_000;
+const MAX_PROGRESS_BYTES = 600_000;
 
 /** The leading results that fit into one page. */
 export function firstPageOf(results: readonly JobResult[]): JobResult[] {
@@ -16,7 +16,7 @@
   let bytes = 0;
   for (const result of results) {
     bytes += Buffer.byteLength(result.text);
-    if (page.length > 0 && bytes > MAXIMUM_PAGE_BYTES) break;
+    if (page.length > 0 && bytes > MAX_PAGE_BYTES) break;
     page.push(result);
   }
   return page;
@@ -24,19 +24,19 @@
 
 /** The progress that fits into one value, preferring complete texts, then longer ones. */
 export function storableProgress(progress: StoredProgress): StoredProgress {
-  const entries = Object.entries(progress).map(([id, kept]) => ({
+  const entries = Object.entries(progress).map(([id, item]) => ({
     id,
-    kept,
-    bytes: kept.events.reduce((sum, event) => sum + Buffer.byteLength(event), 0),
+    item,
+    bytes: item.events.reduce((sum, event) => sum + Buffer.byteLength(event), 0),
   }));
-  const wholeRank = (kept: StoredProgress[string]): number => (kept.isWhole === true ? 1 : 0);
-  entries.sort((a, b) => wholeRank(b.kept) - wholeRank(a.kept) || b.bytes - a.bytes);
+  const completeRank = (item: StoredProgress[string]): number => (item.isWhole === true ? 1 : 0);
+  entries.sort((a, b) => completeRank(b.item) - completeRank(a.item) || b.bytes - a.bytes);
   const stored: StoredProgress = {};
   let total = 0;
-  for (const { id, kept, bytes } of entries) {
-    if (total + bytes > MAXIMUM_KEPT_BYTES) continue;
+  for (const { id, item, bytes } of entries) {
+    if (total + bytes > MAX_PROGRESS_BYTES) continue;
     total += bytes;
-    stored[id] = kept;
+    stored[id] = item;
   }
   return stored;
 }
--- a/test/jobs/doubtful-job.test.ts
+++ b/test/jobs/doubtful-job.test.ts
@@ -25,11 +25,11 @@
   const rule = { minVersion: 1, singleVersion: false };
   const job = new OwnedJob(spec, change.current, [], rule, OWNER, store, clock);
   clock.time += 1_900;
-  t.notOk(job.isDoubtful);
+  t.notOk(job.isUnconfirmed);
   clock.time += 200;
-  t.ok(job.isDoubtful);
+  t.ok(job.isUnconfirmed);
   await job.verifyNow();
-  t.notOk(job.isDoubtful);
+  t.notOk(job.isUnconfirmed);
 });
 
 /** A node whose reads of heads hang from now on, while the store answers all others. */
--- a/test/jobs/ended-elsewhere.test.ts
+++ b/test/jobs/ended-elsewhere.test.ts
@@ -107,5 +107,5 @@
   emulator.setAvailability('refusing');
   t.equal((await node.service.cancel('job', UNRESTRICTED, never))?.kind, 'ledger_unavailable');
   emulator.setAvailability('up');
-  await eventually(() => node.service.ownedJobs()[0]?.ending === 'ended');
+  await eventually(() => node.service.ownedJobs()[0]?.closeReason === 'ended');
 });
--- a/test/jobs/held-listing.test.ts
+++ b/test/jobs/held-listing.test.ts
@@ -54,7 +54,7 @@
   t.ok(await isInTime(ending));
   emulator.setAvailability('up');
   t.equal((await ending)?.kind, 'ledger_unavailable');
-  await eventually(() => job.ending === 'ended');
+  await eventually(() => job.closeReason === 'ended');
   t.equal(await node.service.cancel('job', UNRESTRICTED, never), undefined);
   t.equal(job.results.length, 1, 'what was whole is listed');
 });
--- a/test/jobs/item-placement.test.ts
+++ b/test/jobs/item-placement.test.ts
@@ -1,5 +1,10 @@
 import t from 'tap';
-import { type ItemNeeds, isFaster, isSlow, medianPace } from '../../src/jobs/item-placement.js';
+import {
+  type ItemNeeds,
+  isFaster,
+  isSlow,
+  medianEventInterval,
+} from '../../src/jobs/item-placement.js';
 import { PlacementRound } from '../../src/jobs/placement-round.js';
 import { KnownWorker } from '../../src/serving/worker-registry.js';
 import { worker } from '../serving/serving-fixtures.js';
@@ -68,7 +73,7 @@
 
 t.test('a worker is slow only beside the others', async (t) => {
   const workers = [known('a', 40), known('b', 44), known('c', 150)];
-  const median = medianPace(workers);
+  const median = medianEventInterval(workers);
   t.same(
     workers.map((entry) => isSlow(entry, median)),
     [false, false, true],
--- a/test/jobs/item-scorer.test.ts
+++ b/test/jobs/item-scorer.test.ts
@@ -172,7 +172,7 @@
   const run = scenario([text('ab'), 'hang']);
   await run.node.service.submit(scoredSpecification('job', 1), always);
   await workUntil(run.node, () => run.engine.requests.length === 2);
-  const kept = run.node.service.ownedJobs()[0]?.keptProgress();
+  const kept = run.node.service.ownedJobs()[0]?.unfinishedProgress();
   t.match(kept, { 'item-0': { events: ['a', 'b'], isWhole: true } });
   run.node.dispatcher.stop();
 });
--- a/test/jobs/item-work-cache.test.ts
+++ b/test/jobs/item-work-cache.test.ts
@@ -27,7 +27,7 @@
   const clock = new ManualClock();
   const job = await closedJob(clock);
   const kept = new ItemWorkCache(clock);
-  kept.keep(job);
+  kept.add(job);
   const work = job.spec.items.map((item) => kept.find(item)?.kind);
   t.same(work, [undefined, undefined, 'finished', 'unfinished']);
 });
@@ -36,7 +36,7 @@
   const clock = new ManualClock();
   const job = await closedJob(clock);
   const kept = new ItemWorkCache(clock);
-  kept.keep(job);
+  kept.add(job);
   const [item] = job.spec.items.slice(2);
   if (item === undefined) throw new Error('no item');
   t.equal(kept.find({ ...item, body: 'other' }), undefined);
@@ -46,7 +46,7 @@
   const clock = new ManualClock();
   const job = await closedJob(clock);
   const kept = new ItemWorkCache(clock);
-  kept.keep(job);
+  kept.add(job);
   clock.time += 60_000;
   const [item] = job.spec.items.slice(2);
   t.equal(item && kept.find(item), undefined);
@@ -57,7 +57,7 @@
   const store = new JobStore(new SharedStoreEmulator(), clock);
   const first = await closedJob(clock);
   const kept = new ItemWorkCache(clock);
-  kept.keep(first);
+  kept.add(first);
   const later = async (minVersion: number): Promise<OwnedJob> => {
     const spec = specification(`later-${minVersion}`, 4, minVersion);
     const change = await store.create(spec, headOf(spec), always);
--- a/test/jobs/job-service.test.ts
+++ b/test/jobs/job-service.test.ts
@@ -167,7 +167,7 @@
   t.equal(await other.service.cancel('job', UNRESTRICTED, always), undefined);
   t.equal((await other.service.cancel('none', UNRESTRICTED, always))?.kind, 'not_found');
   await workUntil(owner, isFinished(owner));
-  t.equal(owner.service.ownedJobs()[0]?.ending, 'ended');
+  t.equal(owner.service.ownedJobs()[0]?.closeReason, 'ended');
 });
 
 t.test(
@@ -228,7 +228,7 @@
   await first.service.submit(specification('job', 1), always);
   await workUntil(
     first,
-    () => first.service.ownedJobs()[0]?.keptProgress()['item-0'] !== undefined,
+    () => first.service.ownedJobs()[0]?.unfinishedProgress()['item-0'] !== undefined,
   );
   await first.service.release(always);
   const engine = new ScriptedEngine([stream('cd', 2)]);
--- a/test/jobs/owned-job.test.ts
+++ b/test/jobs/owned-job.test.ts
@@ -85,7 +85,7 @@
   const fixture = await ownedJob(1);
   finish(fixture.job, 0);
   await advance(fixture);
-  t.equal(fixture.job.ending, 'finished');
+  t.equal(fixture.job.closeReason, 'finished');
 });
 
 t.test('an end by another node is seen and nothing more is listed', async (t) => {
@@ -93,7 +93,7 @@
   const { job, store } = fixture;
   await store.replace('job', held(job), { ended: true }, always);
   await advance(fixture);
-  t.equal(job.ending, 'ended');
+  t.equal(job.closeReason, 'ended');
 });
 
 t.test(
@@ -107,7 +107,7 @@
     if (listed.kind !== 'changed') throw new Error(listed.kind);
     await store.replace('job', listed.current, { ended: true }, always);
     await advance(fixture);
-    t.equal(job.ending, 'superseded');
+    t.equal(job.closeReason, 'superseded');
     t.same(job.results, []);
   },
 );
@@ -118,7 +118,7 @@
   entry?.progress.beginRun(5);
   entry?.progress.add({ id: 0, data: 'a', weightVersion: undefined, raw: Buffer.alloc(0) });
   await job.release(always);
-  t.equal(job.ending, 'released');
+  t.equal(job.closeReason, 'released');
   const read = await store.head('job');
   t.equal(read.kind === 'found' && read.value.head.owner, null);
   t.same(await store.progress('job'), {
@@ -139,7 +139,7 @@
     await new Promise((resolve) => setTimeout(resolve, 2));
   }
   t.equal(fixture.job.results.length, 300);
-  t.equal(fixture.job.ending, 'finished');
+  t.equal(fixture.job.closeReason, 'finished');
   t.ok((fixture.job.head?.head.pages ?? 0) > 1);
 });
 
--- a/test/jobs/surrendered-job.test.ts
+++ b/test/jobs/surrendered-job.test.ts
@@ -39,7 +39,7 @@
     for (const open of owner.service.ownedJobs()) open.abandon();
   };
   await eventually(() => {
-    const kept = job?.keptProgress()['item-0'];
+    const kept = job?.unfinishedProgress()['item-0'];
     return job?.finishedResults().length === 1 && kept?.events.length === 2;
   });
   return { emulator, owner, engine, stop };
@@ -72,7 +72,7 @@
     [['item-0', 1]],
     'only the rest of the unfinished item is run',
   );
-  t.equal(owner.service.ownedJobs()[0]?.ending, 'superseded');
+  t.equal(owner.service.ownedJobs()[0]?.closeReason, 'superseded');
   t.same(engine.cancelled.length <= 1 && engine.requests.length, 2, 'the owner sends nothing more');
   stop();
 });
