--- a/test/jobs/evacuated-zone.test.ts
+++ b/test/jobs/evacuated-zone.test.ts
@@ -1,4 +1,4 @@
-/** Items and scores while the zone of some workers is evacuated. */
+/** Dispatch of items and score requests while a worker zone is evacuated. */
 import { Readable } from 'node:stream';
 import t from 'tap';
 import { NO_PEERS } from '../../lab/common/no-peers.js';
@@ -22,11 +22,11 @@
   readonly node: JobNode;
   readonly engine: ScriptedEngine;
   readonly evacuations: ZoneEvacuations;
-  /** Workers that were sent something, in order. */
+  /** Ids of the workers that received requests, in order. */
   readonly sentTo: () => string[];
 }
 
-/** A node with a worker for items in each of two zones; the one of zone-1 is known first. */
+/** A node with one item worker and one scorer in each of two zones; zone-1 is registered first. */
 function scenario(scripts: Script[], slots = 4): Scenario {
   const engine = new ScriptedEngine(scripts);
   const evacuations = new ZoneEvacuations();
@@ -36,20 +36,25 @@
     node.registry.put(worker(`in-${zone}`, { zone, slots }));
     node.registry.put(worker(`scorer-${zone}`, { zone, service: 'scorers' }));
   }
-  return { node, engine, evacuations, sentTo: () => engine.requests.map((one) => one.worker.id) };
+  return {
+    node,
+    engine,
+    evacuations,
+    sentTo: () => engine.requests.map((request) => request.worker.id),
+  };
 }
 
 const text = (letters: string): EngineOutcome => answer(events(0, letters), { isStream: true });
 
-/** A stream that gives its first events at once and goes on when it is told to. */
-function heldStream(first: string, rest: string): { stream: EngineOutcome; goOn: () => void } {
+/** A stream that sends its first events immediately and the rest after `resume`. */
+function heldStream(first: string, rest: string): { stream: EngineOutcome; resume: () => void } {
   const body = new Readable({ read: () => {} });
   body.push(first);
-  const goOn = (): void => {
+  const resume = (): void => {
     body.push(rest);
     body.push(null);
   };
-  return { stream: answer('', { body, isStream: true }), goOn };
+  return { stream: answer('', { body, isStream: true }), resume };
 }
 
 async function textOf({ node }: Scenario): Promise<string | undefined> {
@@ -57,19 +62,19 @@
   return 'detail' in read ? undefined : read.results[0]?.text;
 }
 
-t.test('a run that is under way in a zone as it is evacuated ends there', async (t) => {
-  const { stream, goOn } = heldStream(events(0, 'a'), events(1, 'b'));
+t.test('a run in progress in a zone when its evacuation begins completes there', async (t) => {
+  const { stream, resume } = heldStream(events(0, 'a'), events(1, 'b'));
   const run = scenario([stream]);
   await run.node.service.submit(specification('job', 1), always);
   await workUntil(run.node, () => run.engine.requests.length === 1);
   run.evacuations.begin('zone-1');
-  goOn();
+  resume();
   await workUntil(run.node, isFinished(run.node));
   t.equal(await textOf(run), 'a\nb');
   t.same(run.sentTo(), ['in-zone-1']);
 });
 
-t.test('an item whose run breaks in an evacuated zone goes on elsewhere', async (t) => {
+t.test('an item whose run breaks in an evacuated zone resumes in another zone', async (t) => {
   const run = scenario([
     brokenAnswer(events(0, 'a'), { isStream: true }),
     answer(events(1, 'b'), { isStream: true }),
@@ -83,50 +88,53 @@
   t.equal(await textOf(run), 'a\nb');
 });
 
-t.test('no run moves to a worker of an evacuated zone, though its own one pauses', async (t) => {
-  const { stream, goOn } = heldStream(events(0, 'a'), events(1, 'b'));
+t.test('a stalled run does not move to a worker in an evacuated zone', async (t) => {
+  const { stream, resume } = heldStream(events(0, 'a'), events(1, 'b'));
   const run = scenario([stream]);
   run.evacuations.begin('zone-2');
   await run.node.service.submit(specification('job', 1), always);
   const startedAt = performance.now();
   await workUntil(run.node, () => performance.now() - startedAt > 1_000);
   t.same(run.sentTo(), ['in-zone-1']);
-  goOn();
+  resume();
   await workUntil(run.node, isFinished(run.node));
   t.same(run.sentTo(), ['in-zone-1']);
 });
 
-t.test('a run that pauses in an evacuated zone moves out of it and not back', async (t) => {
+t.test('a run that stalls in an evacuated zone moves out and not back', async (t) => {
   const held = heldStream(events(0, 'a'), '');
   const run = scenario([held.stream, 'hang', answer(events(1, 'b'), { isStream: true })]);
   await run.node.service.submit(specification('job', 1), always);
   await workUntil(run.node, () => run.engine.requests.length === 1);
   run.evacuations.begin('zone-1');
-  // The worker elsewhere says nothing for 2.5 s; the one before would be asked next.
+  // The other worker sends nothing for 2.5 s, after which the first one would be tried again.
   await workUntil(run.node, isFinished(run.node));
   t.same(run.sentTo(), ['in-zone-1', 'in-zone-2', 'in-zone-2']);
 });
 
-t.test('what waits goes where there is room, and into the zone once it is back', async (t) => {
-  const run = scenario([], 2);
-  run.evacuations.begin('zone-2');
-  await run.node.service.submit(specification('job', 6), always);
-  await workUntil(run.node, () => run.engine.requests.length === 2);
-  const startedAt = performance.now();
-  await workUntil(run.node, () => performance.now() - startedAt > 200);
-  t.same(run.sentTo(), ['in-zone-1', 'in-zone-1']);
-  run.evacuations.end('zone-2');
-  await workUntil(run.node, () => run.engine.requests.length === 4);
-  t.same(run.sentTo().slice(2), ['in-zone-2', 'in-zone-2'], 'as many as have a place there');
-  run.node.dispatcher.stop();
-});
+t.test(
+  'waiting items go to free slots in other zones, and to the zone after its evacuation',
+  async (t) => {
+    const run = scenario([], 2);
+    run.evacuations.begin('zone-2');
+    await run.node.service.submit(specification('job', 6), always);
+    await workUntil(run.node, () => run.engine.requests.length === 2);
+    const startedAt = performance.now();
+    await workUntil(run.node, () => performance.now() - startedAt > 200);
+    t.same(run.sentTo(), ['in-zone-1', 'in-zone-1']);
+    run.evacuations.end('zone-2');
+    await workUntil(run.node, () => run.engine.requests.length === 4);
+    t.same(run.sentTo().slice(2), ['in-zone-2', 'in-zone-2'], 'as many as it has slots');
+    run.node.dispatcher.stop();
+  },
+);
 
-t.test('scores are asked for elsewhere, also the second time', async (t) => {
+t.test('scores are requested outside an evacuated zone, also when hedged', async (t) => {
   const run = scenario([text('ab'), 'hang', answer('judged', { signature: 'good' })]);
   run.evacuations.begin('zone-1');
   await run.node.service.submit(scoredSpecification('job', 1), always);
   await workUntil(run.node, () => run.engine.requests.length === 2);
-  // The answer is late; the other scorer lies in the evacuated zone.
+  // The answer is late; the other scorer is in the evacuated zone.
   const startedAt = performance.now();
   await workUntil(run.node, () => performance.now() - startedAt > 400);
   t.same(run.sentTo(), ['in-zone-2', 'scorer-zone-2']);
--- a/test/jobs/item-placement.test.ts
+++ b/test/jobs/item-placement.test.ts
@@ -26,10 +26,10 @@
   return new PlacementRound(workers, now).place(needs, sharedPromptWorker);
 }
 
-function known(id: string, pace: number, fields = {}): KnownWorker {
-  const made = new KnownWorker(worker(id, fields));
-  made.noteEventInterval(pace);
-  return made;
+function known(id: string, eventInterval: number, fields = {}): KnownWorker {
+  const created = new KnownWorker(worker(id, fields));
+  created.noteEventInterval(eventInterval);
+  return created;
 }
 
 t.test('the faster worker is chosen, until it is full', async (t) => {
@@ -49,7 +49,7 @@
   t.equal(placeItem([one, two], NEEDS, 'one', NOW), one);
 });
 
-t.test('a long item keeps off a slower worker, a short one takes the emptier one', async (t) => {
+t.test('a long item avoids a slower worker, a short one takes the emptier one', async (t) => {
   const usual = known('usual', 50, { slots: 8 });
   const slower = known('slower', 64, { slots: 8 });
   usual.inFlight = 5;
@@ -59,7 +59,7 @@
   t.equal(placeItem([usual, slower], { ...NEEDS, relativeLength: 4 }, undefined, NOW), slower);
 });
 
-t.test('workers that leave, have failed or hold other weights are passed over', async (t) => {
+t.test('workers that are draining, have failed or have other weights are skipped', async (t) => {
   const leaving = known('leaving', 40, { draining: true });
   const failed = known('failed', 40);
   failed.noteOutcome('failure', NOW);
@@ -71,7 +71,7 @@
   t.equal(placeItem([old], { ...needs, boundVersion: 4 }, undefined, NOW), undefined);
 });
 
-t.test('a worker is slow only beside the others', async (t) => {
+t.test('a worker is slow only relative to the others', async (t) => {
   const workers = [known('a', 40), known('b', 44), known('c', 150)];
   const median = medianEventInterval(workers);
   t.same(
@@ -80,14 +80,17 @@
   );
 });
 
-t.test('a worker is faster only by a margin, and only where both paces are known', async (t) => {
-  t.ok(isFaster(known('fast', 40), known('slow', 52)));
-  t.notOk(isFaster(known('fast', 48), known('slow', 52)));
-  t.notOk(isFaster(new KnownWorker(worker('new')), known('slow', 52)));
-  t.notOk(isFaster(known('fast', 40), new KnownWorker(worker('new'))));
-});
+t.test(
+  'a worker is faster only by a margin, and only if both event intervals are known',
+  async (t) => {
+    t.ok(isFaster(known('fast', 40), known('slow', 52)));
+    t.notOk(isFaster(known('fast', 48), known('slow', 52)));
+    t.notOk(isFaster(new KnownWorker(worker('new')), known('slow', 52)));
+    t.notOk(isFaster(known('fast', 40), new KnownWorker(worker('new'))));
+  },
+);
 
-t.test('a few pauses do not make a worker slow, lasting slowness does', async (t) => {
+t.test('a few pauses do not make a worker slow, sustained slowness does', async (t) => {
   const paused = known('paused', 50);
   for (let sample = 0; sample < 10; sample += 1) paused.noteEventInterval(900);
   t.notOk(isSlow(paused, 50));
--- a/test/jobs/item-progress.test.ts
+++ b/test/jobs/item-progress.test.ts
@@ -6,7 +6,7 @@
   return { id, data, weightVersion, raw: Buffer.alloc(0) };
 }
 
-t.test('the text is the data of all events, the versions those that made them', async (t) => {
+t.test('the text is the data of all events, with the versions that generated them', async (t) => {
   const progress = new ItemProgress({ minVersion: 1, singleVersion: false });
   progress.beginRun(3);
   progress.add(event(0, 'a', 4));
@@ -20,7 +20,7 @@
   });
 });
 
-t.test('a gap or a repetition is refused', async (t) => {
+t.test('a gap or a repeated event is rejected', async (t) => {
   const progress = new ItemProgress({ minVersion: 1, singleVersion: false });
   progress.beginRun(1);
   t.equal(progress.add(event(4, 'a')), 'added');
@@ -29,7 +29,7 @@
   t.equal(progress.add(event(5, 'b')), 'added');
 });
 
-t.test('nothing is taken from weights that are too old or not told', async (t) => {
+t.test('events of weights that are too old or unknown are rejected', async (t) => {
   const progress = new ItemProgress({ minVersion: 5, singleVersion: false });
   progress.beginRun(4);
   t.equal(progress.add(event(0, 'a')), 'version-too-old');
@@ -37,7 +37,7 @@
   t.equal(progress.add(event(0, 'a')), 'version-too-old');
 });
 
-t.test('where one version is asked for, a second one is refused', async (t) => {
+t.test('if a single version is required, a second one is rejected', async (t) => {
   const progress = new ItemProgress({ minVersion: 1, singleVersion: true });
   progress.beginRun(2);
   progress.add(event(0, 'a'));
@@ -45,13 +45,13 @@
   t.equal(progress.add(event(1, 'b', 3)), 'version-mixed');
 });
 
-t.test('kept events are taken over only where their versions fit', async (t) => {
-  const kept = { events: ['a', 'b'], lastEventId: 1, versions: [2, 3] };
+t.test('stored events are restored only if their versions fit', async (t) => {
+  const stored = { events: ['a', 'b'], lastEventId: 1, versions: [2, 3] };
   const fits = new ItemProgress({ minVersion: 2, singleVersion: false });
-  t.ok(fits.restore(kept));
+  t.ok(fits.restore(stored));
   fits.beginRun(4);
   t.equal(fits.add(event(2, 'c')), 'added');
   t.same(fits.toResult('item').versions, [2, 3, 4]);
-  t.notOk(new ItemProgress({ minVersion: 3, singleVersion: false }).restore(kept));
-  t.notOk(new ItemProgress({ minVersion: 1, singleVersion: true }).restore(kept));
+  t.notOk(new ItemProgress({ minVersion: 3, singleVersion: false }).restore(stored));
+  t.notOk(new ItemProgress({ minVersion: 1, singleVersion: true }).restore(stored));
 });
--- a/test/jobs/item-scorer.test.ts
+++ b/test/jobs/item-scorer.test.ts
@@ -66,11 +66,11 @@
       host: 'scorer.example',
     });
     t.equal(score?.body.toString(), 'score 0');
-    t.ok((score?.remaining ?? 0) > 1_000, 'the worker is given a time');
+    t.ok((score?.remaining ?? 0) > 1_000, 'the request carries a time budget');
   },
 );
 
-t.test('no score is asked for before the last event of the text', async (t) => {
+t.test('no score is requested before the text is complete', async (t) => {
   const run = scenario([brokenAnswer(events(0, 'a'), { isStream: true })]);
   await run.node.service.submit(scoredSpecification('job', 1), always);
   await workUntil(run.node, () => run.engine.requests.length >= 2);
@@ -87,15 +87,18 @@
   run.node.dispatcher.stop();
 });
 
-t.test('a score request goes again after a refusal, a break and a broken body', async (t) => {
-  const bad = [NOT_RUN, BROKEN, brokenAnswer('jud', { signature: 'broken' })];
-  const run = scenario([text('ab'), ...bad, scored('good')], ['s1', 's2']);
-  const results = await runToEnd(run, scoredSpecification('job', 1));
-  t.match(results, [{ state: 'completed', score: 'good' }]);
-  t.equal(run.engine.requests.filter(({ requestId }) => requestId === 'item-0').length, 1);
-});
+t.test(
+  'a score request is retried after a rejection, a broken connection and a truncated body',
+  async (t) => {
+    const bad = [NOT_RUN, BROKEN, brokenAnswer('jud', { signature: 'broken' })];
+    const run = scenario([text('ab'), ...bad, scored('good')], ['s1', 's2']);
+    const results = await runToEnd(run, scoredSpecification('job', 1));
+    t.match(results, [{ state: 'completed', score: 'good' }]);
+    t.equal(run.engine.requests.filter(({ requestId }) => requestId === 'item-0').length, 1);
+  },
+);
 
-t.test('a success without a signature is no score', async (t) => {
+t.test('a successful response without a signature is not a score', async (t) => {
   const unsigned = answer('judged', { signature: undefined });
   const run = scenario([text('ab'), unsigned, scored('good')], ['s1', 's2']);
   t.match(await runToEnd(run, scoredSpecification('job', 1)), [{ score: 'good' }]);
@@ -107,21 +110,28 @@
   const results = await runToEnd(run, scoredSpecification('job', 1));
   t.match(results, [{ state: 'terminated', text: '' }]);
   t.equal(results[0]?.score, undefined);
-  t.equal(run.engine.requests.length, 4, 'not before all attempts of the route, and none after');
+  t.equal(
+    run.engine.requests.length,
+    4,
+    'exactly as many score calls as the route allows attempts',
+  );
 });
 
-t.test('a late answer is asked for at a second worker, and the slower call is ended', async (t) => {
-  const run = scenario([text('ab'), 'hang', scored('second')], ['s1', 's2']);
-  const startedAt = performance.now();
-  const results = await runToEnd(run, scoredSpecification('job', 1));
-  t.match(results, [{ score: 'second' }]);
-  t.ok(performance.now() - startedAt < 1_400, 'long before the timeout of the route');
-  const [, first, second] = run.engine.requests;
-  t.not(first?.worker.id, second?.worker.id);
-  t.same(run.engine.cancelled, [first?.worker.id]);
-});
+t.test(
+  'a late score request is hedged on a second worker, and the slower call is cancelled',
+  async (t) => {
+    const run = scenario([text('ab'), 'hang', scored('second')], ['s1', 's2']);
+    const startedAt = performance.now();
+    const results = await runToEnd(run, scoredSpecification('job', 1));
+    t.match(results, [{ score: 'second' }]);
+    t.ok(performance.now() - startedAt < 1_400, 'long before the timeout of the route');
+    const [, first, second] = run.engine.requests;
+    t.not(first?.worker.id, second?.worker.id);
+    t.same(run.engine.cancelled, [first?.worker.id]);
+  },
+);
 
-t.test('the calls of a job that ends are ended', async (t) => {
+t.test('the score calls of a cancelled job are cancelled', async (t) => {
   const run = scenario([text('ab'), 'hang']);
   await run.node.service.submit(scoredSpecification('job', 1), always);
   await workUntil(run.node, () => run.engine.requests.length === 2);
@@ -131,7 +141,7 @@
   t.equal(run.engine.requests.length, 2);
 });
 
-t.test('workers whose places are nearly taken are left to interactive requests', async (t) => {
+t.test('the last slots of a worker are reserved for interactive requests', async (t) => {
   const run = scenario([text('ab'), scored('late')]);
   const scorer = run.node.registry.get('s1');
   if (scorer === undefined) throw new Error('no worker');
@@ -139,46 +149,49 @@
   await run.node.service.submit(scoredSpecification('job', 1), always);
   await workUntil(run.node, () => run.node.service.ownedJobs()[0]?.unscored().length === 1);
   await PROCESS_CLOCK.sleep(50);
-  t.equal(run.engine.requests.length, 1, 'three of four places are taken');
+  t.equal(run.engine.requests.length, 1, 'three of four slots are occupied');
   scorer.inFlight = 1;
   await workUntil(run.node, isFinished(run.node));
   t.match(await resultsOf(run.node), [{ score: 'late' }]);
 });
 
-t.test('a new owner scores a whole text again and does not run the item again', async (t) => {
-  const store = new SharedStoreEmulator();
-  const records = new JobStore(store, PROCESS_CLOCK);
-  const spec = scoredSpecification('job', 1);
-  const made = await records.create(spec, headOf(spec, OTHER), never);
-  if (made.kind !== 'changed') throw new Error('not made');
-  const whole = { events: ['a', 'b'], lastEventId: 1, versions: [1], isWhole: true };
-  const kept = { 'item-0': whole };
-  const freed = await records.replace('job', made.current, { owner: null }, never, kept);
-  if (freed.kind !== 'changed') throw new Error('not released');
-  const engine = new ScriptedEngine([scored('anew')]);
-  const node = jobNode(store, OWNER, engine);
-  node.registry.put(worker('w1'));
-  node.registry.put(worker('s1', { service: 'scorers' }));
-  t.equal(await node.service.takeOver('job', freed.current), true);
-  await workUntil(node, isFinished(node));
-  t.match(await resultsOf(node), [{ text: 'a\nb', score: 'anew' }]);
-  t.same(
-    engine.requests.map(({ requestId }) => requestId),
-    ['score-0'],
-  );
-});
+t.test(
+  'a new owner requests the score of a complete text and does not run the item again',
+  async (t) => {
+    const store = new SharedStoreEmulator();
+    const records = new JobStore(store, PROCESS_CLOCK);
+    const spec = scoredSpecification('job', 1);
+    const created = await records.create(spec, headOf(spec, OTHER), never);
+    if (created.kind !== 'changed') throw new Error('the job was not created');
+    const complete = { events: ['a', 'b'], lastEventId: 1, versions: [1], isWhole: true };
+    const stored = { 'item-0': complete };
+    const released = await records.replace('job', created.current, { owner: null }, never, stored);
+    if (released.kind !== 'changed') throw new Error('the job was not released');
+    const engine = new ScriptedEngine([scored('anew')]);
+    const node = jobNode(store, OWNER, engine);
+    node.registry.put(worker('w1'));
+    node.registry.put(worker('s1', { service: 'scorers' }));
+    t.equal(await node.service.takeOver('job', released.current), true);
+    await workUntil(node, isFinished(node));
+    t.match(await resultsOf(node), [{ text: 'a\nb', score: 'anew' }]);
+    t.same(
+      engine.requests.map(({ requestId }) => requestId),
+      ['score-0'],
+    );
+  },
+);
 
-t.test('a whole text is kept with each commit while its score is missing', async (t) => {
+t.test('a complete text is stored with each commit while its score is missing', async (t) => {
   const run = scenario([text('ab'), 'hang']);
   await run.node.service.submit(scoredSpecification('job', 1), always);
   await workUntil(run.node, () => run.engine.requests.length === 2);
-  const kept = run.node.service.ownedJobs()[0]?.unfinishedProgress();
-  t.match(kept, { 'item-0': { events: ['a', 'b'], isWhole: true } });
+  const progress = run.node.service.ownedJobs()[0]?.unfinishedProgress();
+  t.match(progress, { 'item-0': { events: ['a', 'b'], isWhole: true } });
   run.node.dispatcher.stop();
 });
 
-/** Runs a first job whose second item never ends, ends it, and runs `next` at the same node. */
-async function bringBack(next: JobSpecification, scripts: Script[]): Promise<Scenario> {
+/** Cancels a first job while one of its items hangs, and submits `next` to the same node. */
+async function resubmit(next: JobSpecification, scripts: Script[]): Promise<Scenario> {
   const run = scenario([...scripts]);
   await run.node.service.submit(scoredSpecification('first', 2), always);
   const first = (): JobResult[] => run.node.service.ownedJobs()[0]?.finishedResults() ?? [];
@@ -188,31 +201,31 @@
   return run;
 }
 
-t.test('a score of an earlier job counts for the same score request', async (t) => {
+t.test('a score of an earlier job is reused for the same score request', async (t) => {
   const scripts: Script[] = [text('ab'), 'hang', scored('earlier')];
   const spec = scoredSpecification('job', 2);
-  const run = await bringBack({ ...spec, items: spec.items.slice(1) }, scripts);
+  const run = await resubmit({ ...spec, items: spec.items.slice(1) }, scripts);
   await workUntil(run.node, () => run.node.service.ownedJobs()[1]?.isOpen === false);
   const [result] = await resultsOf(run.node);
   t.equal(result?.score, 'earlier');
   t.equal(run.engine.requests.length, 3);
 });
 
-t.test('a text of an earlier job is scored anew for another score request', async (t) => {
+t.test('a text of an earlier job is scored again for another score request', async (t) => {
   const spec = scoredSpecification('job', 2);
   const items = spec.items.map((item) => ({
     ...item,
     scoreRequest: { id: 'another', host: 'scorer.example', path: '/score/x', body: '' },
   }));
   const scripts: Script[] = [text('ab'), 'hang', scored('earlier'), scored('new')];
-  const run = await bringBack({ ...spec, items: items.slice(1) }, scripts);
+  const run = await resubmit({ ...spec, items: items.slice(1) }, scripts);
   await workUntil(run.node, () => run.node.service.ownedJobs()[1]?.isOpen === false);
   t.match(await resultsOf(run.node), [{ text: 'a\nb', score: 'new' }]);
   t.equal(run.engine.requests.at(-1)?.requestId, 'another');
 });
 
-/** Workers of scores in `zone-1` leave a quarter of their places to lookups; the far one is idle. */
-t.test('scores that find no room in their region go to the other one', async (t) => {
+/** Score requests may fill three quarters of the near worker's slots; the far worker is idle. */
+t.test('score requests without a free slot in their region go to another region', async (t) => {
   const engine = new ScriptedEngine([text('ab'), scored('far')]);
   const node = jobNode(new SharedStoreEmulator(), OWNER, engine, undefined, {
     distanceBetween: (one, other) => (one === other ? 'same-zone' : 'other-region'),
--- a/test/jobs/item-work-cache.test.ts
+++ b/test/jobs/item-work-cache.test.ts
@@ -5,7 +5,7 @@
 import { OwnedJob } from '../../src/jobs/owned-job.js';
 import { always, headOf, ManualClock, OWNER, result, specification } from './job-fixtures.js';
 
-/** A job of two groups of two items; three items are finished, and a part of the fourth made. */
+/** A job of two groups of two items; three items are finished, the fourth has one event. */
 async function closedJob(clock: ManualClock): Promise<OwnedJob> {
   const store = new JobStore(new SharedStoreEmulator(), clock);
   const spec = specification('job', 4);
@@ -23,48 +23,48 @@
   return job;
 }
 
-t.test('groups that are not whole are kept, whole ones are not', async (t) => {
+t.test('groups that are not completed are cached, completed ones are not', async (t) => {
   const clock = new ManualClock();
   const job = await closedJob(clock);
-  const kept = new ItemWorkCache(clock);
-  kept.add(job);
-  const work = job.spec.items.map((item) => kept.find(item)?.kind);
+  const cache = new ItemWorkCache(clock);
+  cache.add(job);
+  const work = job.spec.items.map((item) => cache.find(item)?.kind);
   t.same(work, [undefined, undefined, 'finished', 'unfinished']);
 });
 
-t.test('an id that asks for something else finds nothing', async (t) => {
+t.test('an id that is reused for another request finds nothing', async (t) => {
   const clock = new ManualClock();
   const job = await closedJob(clock);
-  const kept = new ItemWorkCache(clock);
-  kept.add(job);
+  const cache = new ItemWorkCache(clock);
+  cache.add(job);
   const [item] = job.spec.items.slice(2);
   if (item === undefined) throw new Error('no item');
-  t.equal(kept.find({ ...item, body: 'other' }), undefined);
+  t.equal(cache.find({ ...item, body: 'other' }), undefined);
 });
 
-t.test('kept work is forgotten after a while', async (t) => {
+t.test('cached work expires', async (t) => {
   const clock = new ManualClock();
   const job = await closedJob(clock);
-  const kept = new ItemWorkCache(clock);
-  kept.add(job);
+  const cache = new ItemWorkCache(clock);
+  cache.add(job);
   clock.time += 60_000;
   const [item] = job.spec.items.slice(2);
-  t.equal(item && kept.find(item), undefined);
+  t.equal(item && cache.find(item), undefined);
 });
 
-t.test('a later job goes on from kept work only where its versions fit', async (t) => {
+t.test('a later job continues cached work only if its versions fit', async (t) => {
   const clock = new ManualClock();
   const store = new JobStore(new SharedStoreEmulator(), clock);
   const first = await closedJob(clock);
-  const kept = new ItemWorkCache(clock);
-  kept.add(first);
+  const cache = new ItemWorkCache(clock);
+  cache.add(first);
   const later = async (minVersion: number): Promise<OwnedJob> => {
     const spec = specification(`later-${minVersion}`, 4, minVersion);
     const change = await store.create(spec, headOf(spec), always);
     if (change.kind !== 'changed') throw new Error(change.kind);
     const work = new Map(
       spec.items.flatMap((item) => {
-        const found = kept.find(item);
+        const found = cache.find(item);
         return found === undefined ? [] : [[item.id, found] as const];
       }),
     );
--- a/test/jobs/job-fixtures.ts
+++ b/test/jobs/job-fixtures.ts
@@ -1,15 +1,15 @@
-/** Jobs for tests. */
+/** Owners, job specifications and a manual clock for tests. */
 import type { JobOwner, JobResult, JobSpecification } from '../../src/jobs/job-records.js';
 import type { HeadFields } from '../../src/jobs/job-store.js';
 import type { Clock } from '../../src/serving/clock.js';
 
-/** A clock that a test moves. */
+/** A clock that tests advance. */
 export class ManualClock implements Clock {
   time = 1_000;
   now(): number {
     return this.time;
   }
-  /** Time that `time` lacks, as the machine was suspended. */
+  /** Time for which the machine was suspended, not included in `time`. */
   suspended = 0;
   suspendedTime(): number {
     return this.suspended;
@@ -17,7 +17,7 @@
   wallTime(): number {
     return this.time;
   }
-  /** Lets others go on; no time passes. */
+  /** Yields to other tasks without advancing the time. */
   sleep(): Promise<void> {
     return new Promise((resolve) => setImmediate(resolve));
   }
@@ -28,10 +28,10 @@
 export const always = (): boolean => true;
 export const never = (): boolean => false;
 
-/** Time of day of all submissions; recent, so that no item counts as expired. */
+/** Wall-clock time of all submissions; recent, so that no item has expired. */
 const SUBMITTED_AT = Date.now();
 
-/** A job with items `item-0` and so on, two to a group. */
+/** A job with items `item-0`, `item-1` and so on, two per group. */
 export function specification(id: string, items: number, minVersion = 1): JobSpecification {
   return {
     id,
@@ -54,7 +54,7 @@
   };
 }
 
-/** The same job with a score request for each item: `score-0` and so on. */
+/** The same job with a score request for each item: `score-0`, `score-1` and so on. */
 export function scoredSpecification(id: string, items: number): JobSpecification {
   const spec = specification(id, items);
   return {
--- a/test/jobs/job-node.ts
+++ b/test/jobs/job-node.ts
@@ -1,4 +1,4 @@
-/** The jobs' modules of one node, joined as a gateway joins them. */
+/** The job modules of one node, connected as in a gateway. */
 
 import { NO_PEERS } from '../../lab/common/no-peers.js';
 import { ItemDispatcher } from '../../src/jobs/item-dispatcher.js';
@@ -28,7 +28,7 @@
   VERSION_FIELD,
 } from '../serving/serving-fixtures.js';
 
-/** One node's part in jobs. */
+/** The job modules of one node. */
 export interface JobNode {
   readonly service: JobService;
   readonly dispatcher: ItemDispatcher;
@@ -45,7 +45,7 @@
   resumable: true,
 });
 
-/** Where the scores of items are asked for. */
+/** The route of score requests. */
 export const SCORE_ROUTE = route({
   name: 'scores',
   host: 'scorer.example',
@@ -56,21 +56,21 @@
   targets: [{ service: 'scorers', weight: 1 }],
 });
 
-/** What a node may have besides. */
+/** Optional parts of a job node. */
 export interface JobNodeExtras {
   readonly journals?: ZoneJournals;
   readonly isWriterLive?: (writer: string) => boolean;
-  /** Whether the store answers nobody. @default it does not */
-  readonly isStoreSilent?: () => boolean;
+  /** Whether the store answers no node. @default it does not */
+  readonly isStoreUnreachable?: () => boolean;
   /** Which workers may be sent work. @default all */
   readonly rules?: SendRules;
-  /** Which nodes may hold a job. @default all */
+  /** Which nodes may store a job. @default all */
   readonly residency?: JobResidency;
-  /** How far zones are from each other. @default all are of one region */
+  /** Distances between zones. @default all zones are in one region */
   readonly distanceBetween?: DistanceBetween;
 }
 
-/** Joins the modules. */
+/** Creates the job modules of a node. */
 export function jobNode(
   emulator: SharedStore,
   self: JobOwner,
@@ -78,7 +78,12 @@
   peers: JobPeers = NO_PEERS,
   extras: JobNodeExtras = {},
 ): JobNode {
-  const { journals, isWriterLive = () => true, isStoreSilent = () => true, residency } = extras;
+  const {
+    journals,
+    isWriterLive = () => true,
+    isStoreUnreachable = () => true,
+    residency,
+  } = extras;
   const { log, lines } = recordingLog();
   const clock = PROCESS_CLOCK;
   const metrics = new FleetMetrics();
@@ -94,12 +99,12 @@
     versionField: VERSION_FIELD,
     registry,
     quarantine: ownQuarantine,
-    isStoreUnreachable: isStoreSilent,
+    isStoreUnreachable,
     zone: 'zone-1',
   });
   const reader = new JobReader(
     store,
-    (...question) => peers.ownerListing(...question),
+    (...request) => peers.ownerListing(...request),
     (job) => peers.likelyOwners(job),
     journals,
     residency,
@@ -120,7 +125,7 @@
   };
 }
 
-/** Has a node do its regular work until the timer is cleared. */
+/** Runs the periodic work of a node until the timer is cleared. */
 export function keepWorking(node: JobNode): NodeJS.Timeout {
   return setInterval(() => {
     node.service.tick();
@@ -128,7 +133,7 @@
   }, 5);
 }
 
-/** Lets a node work until a condition holds. */
+/** Runs the periodic work of a node until a condition holds. */
 export async function workUntil(node: JobNode, holds: () => boolean): Promise<void> {
   const ticker = keepWorking(node);
   await eventually(holds).finally(() => clearInterval(ticker));
--- a/test/jobs/job-reader.test.ts
+++ b/test/jobs/job-reader.test.ts
@@ -1,4 +1,4 @@
-/** What a node that does not run a job asks for, and that positions stay what they are. */
+/** Reads of jobs that another node owns: what is requested from the owner, and stable positions. */
 import t from 'tap';
 import { SharedStoreEmulator } from '../../lab/emulator/shared-store-emulator.js';
 import { JobReader, type OwnerListing } from '../../src/jobs/job-reader.js';
@@ -8,7 +8,7 @@
 
 const TOTAL = 8;
 
-/** An owner that has listed results, two to a page, as the store has too. */
+/** An owner that has listed results, two per page; the store has them too. */
 async function fixture(listed: number) {
   const store = new JobStore(new SharedStoreEmulator(), new ManualClock());
   const spec = specification('job', TOTAL);
@@ -18,50 +18,53 @@
     const page = results.slice(first, first + 2);
     change = await store.append('job', change.current, page, undefined, always);
   }
-  const asked: number[] = [];
-  const owner = { isThere: true };
-  const askOwner = async (
+  const requestedPositions: number[] = [];
+  const owner = { isReachable: true };
+  const fetchOwnerListing = async (
     _owner: unknown,
     _job: string,
     after: number,
   ): Promise<OwnerListing | undefined> => {
-    asked.push(after);
-    if (!owner.isThere) return undefined;
+    requestedPositions.push(after);
+    if (!owner.isReachable) return undefined;
     const pages = Math.ceil(listed / 2);
     return { tenant: undefined, total: TOTAL, pages, results: results.slice(after) };
   };
-  const reader = new JobReader(store, askOwner, () => [OWNER]);
+  const reader = new JobReader(store, fetchOwnerListing, () => [OWNER]);
   const read = async (after: number) => {
     const outcome = await reader.listing('job', after, 0);
     if (outcome.kind !== 'found') throw new Error(outcome.kind);
     return sliceOf(outcome.value, after);
   };
-  return { asked, owner, read };
+  return { requestedPositions, owner, read };
 }
 
-t.test('only what is asked for is fetched, once', async (t) => {
-  const { asked, read } = await fixture(6);
+t.test('only requested results are fetched, once', async (t) => {
+  const { requestedPositions, read } = await fixture(6);
   t.same((await read(4)).results, [result(4), result(5)]);
-  t.same(asked, [4]);
+  t.same(requestedPositions, [4]);
   t.same((await read(5)).results, [result(5)]);
-  t.same(asked, [4], 'what is known is not asked for again');
+  t.same(requestedPositions, [4], 'cached results are not fetched again');
   t.same((await read(1)).results, [1, 2, 3, 4, 5].map(result));
-  t.same(asked, [4, 1]);
+  t.same(requestedPositions, [4, 1]);
   t.same(await read(6), { total: TOTAL, results: [], nextPosition: 6 });
 });
 
-t.test('positions hold where the owner goes and the store is read', async (t) => {
-  const { owner, read } = await fixture(6);
-  t.same((await read(4)).results, [result(4), result(5)]);
-  owner.isThere = false;
-  t.same((await read(6)).results, []);
-  t.same((await read(2)).results, [2, 3, 4, 5].map(result));
-});
+t.test(
+  'positions stay the same when the owner becomes unreachable and the store is read',
+  async (t) => {
+    const { owner, read } = await fixture(6);
+    t.same((await read(4)).results, [result(4), result(5)]);
+    owner.isReachable = false;
+    t.same((await read(6)).results, []);
+    t.same((await read(2)).results, [2, 3, 4, 5].map(result));
+  },
+);
 
-t.test('a position beyond all that is listed moves none', async (t) => {
+t.test('a read beyond the listed results does not shift positions', async (t) => {
   const { owner, read } = await fixture(4);
   t.same(await read(7), { total: TOTAL, results: [], nextPosition: 7 });
-  owner.isThere = false;
+  owner.isReachable = false;
   t.same((await read(3)).results, [result(3)]);
   t.same((await read(7)).results, []);
   t.same((await read(0)).results, [0, 1, 2, 3].map(result));
--- a/test/jobs/job-service.test.ts
+++ b/test/jobs/job-service.test.ts
@@ -18,7 +18,7 @@
 const stream = (letters: string, first = 0): EngineOutcome =>
   answer(events(first, letters), { isStream: true });
 
-t.test('a job is run, listed and read by position, here and at another node', async (t) => {
+t.test('a job is run, listed and read by position, on its owner and on another node', async (t) => {
   const emulator = new SharedStoreEmulator();
   const engine = new ScriptedEngine([stream('ab'), stream('cd')]);
   const node = jobNode(emulator, OWNER, engine);
@@ -35,7 +35,7 @@
   t.same(there, { total: 2, results: here.results.slice(1), nextPosition: 2 });
 });
 
-t.test('an item goes on where its stream broke, at a worker that is sound', async (t) => {
+t.test('an item resumes where its stream broke, on another worker', async (t) => {
   const first = brokenAnswer(`${events(0, 'ab')}id: 2\nda`, { isStream: true });
   const engine = new ScriptedEngine([first, stream('cd', 2)]);
   const node = jobNode(new SharedStoreEmulator(), OWNER, engine);
@@ -49,14 +49,14 @@
   t.equal('results' in read && read.results[0]?.text, 'a\nb\nc\nd');
 });
 
-/** A stream that gives some events and then nothing more. */
+/** A stream that sends some events and then stalls. */
 function pausingAnswer(letters: string): EngineOutcome {
   const body = new Readable({ read: () => {} });
   body.push(Buffer.from(events(0, letters)));
   return answer('', { body, isStream: true });
 }
 
-t.test('an item whose stream pauses goes on at another worker', async (t) => {
+t.test('an item whose stream stalls resumes on another worker', async (t) => {
   const engine = new ScriptedEngine([pausingAnswer('ab'), stream('cd', 2)]);
   const node = jobNode(new SharedStoreEmulator(), OWNER, engine);
   node.registry.put(worker('w1'));
@@ -69,7 +69,7 @@
   t.match(moved, { cause: 'stalled', events: 2 });
 });
 
-t.test('an item that got no answer at all goes on over a new connection', async (t) => {
+t.test('an item without any response is retried over a new connection', async (t) => {
   const engine = new ScriptedEngine(['hang', stream('abcd')]);
   const node = jobNode(new SharedStoreEmulator(), OWNER, engine);
   node.registry.put(worker('w1'));
@@ -82,7 +82,7 @@
   );
 });
 
-t.test('an item whose stream pauses stays where no other worker can take it', async (t) => {
+t.test('an item whose stream stalls stays if no other worker can run it', async (t) => {
   const engine = new ScriptedEngine([pausingAnswer('ab')]);
   const node = jobNode(new SharedStoreEmulator(), OWNER, engine);
   node.registry.put(worker('w1'));
@@ -94,7 +94,7 @@
   node.dispatcher.stop();
 });
 
-t.test('the last run of a job moves to a worker that is somewhat faster, once', async (t) => {
+t.test('the last run of a job moves to a moderately faster worker, once', async (t) => {
   const script = [pausingAnswer('ab'), stream('xy'), stream('cd', 2)];
   const engine = new ScriptedEngine(script);
   const node = jobNode(new SharedStoreEmulator(), OWNER, engine);
@@ -103,7 +103,7 @@
   node.dispatcher.tick();
   await eventually(() => engine.requests.length === 2);
   node.registry.put(worker('fast'));
-  // Paces so long that the pause of the stream is no reason of its own to move.
+  // Event intervals so long that the run does not count as stalled.
   node.registry.get('slow')?.noteEventInterval(390);
   node.registry.get('fast')?.noteEventInterval(300);
   await workUntil(node, isFinished(node));
@@ -127,7 +127,7 @@
   t.equal(engine.requests.length, 3);
 });
 
-t.test('no worker with older weights than the job allows is asked', async (t) => {
+t.test('no item is sent to a worker with older weights than the job allows', async (t) => {
   const engine = new ScriptedEngine();
   const node = jobNode(new SharedStoreEmulator(), OWNER, engine);
   node.registry.put(worker('old', { models: [{ name: 'model-a', version: 4 }] }));
@@ -139,17 +139,20 @@
   t.equal(engine.requests[0]?.worker.id, 'new');
 });
 
-t.test('a job that no node knows is not found; a silent store is said so', async (t) => {
-  const emulator = new SharedStoreEmulator();
-  const node = jobNode(emulator, OWNER);
-  const absent = await node.service.read('none', 0, 0, UNRESTRICTED);
-  t.equal('kind' in absent && absent.kind, 'not_found');
-  emulator.setAvailability('refusing');
-  const unsure = await node.service.read('none', 0, 0, UNRESTRICTED);
-  t.equal('kind' in unsure && unsure.kind, 'ledger_unavailable');
-});
+t.test(
+  'an unknown job is reported as not found, an unavailable store as unavailable',
+  async (t) => {
+    const emulator = new SharedStoreEmulator();
+    const node = jobNode(emulator, OWNER);
+    const absent = await node.service.read('none', 0, 0, UNRESTRICTED);
+    t.equal('kind' in absent && absent.kind, 'not_found');
+    emulator.setAvailability('refusing');
+    const unavailable = await node.service.read('none', 0, 0, UNRESTRICTED);
+    t.equal('kind' in unavailable && unavailable.kind, 'ledger_unavailable');
+  },
+);
 
-t.test('bodies come back as they were, at any node', async (t) => {
+t.test('any node returns item bodies unchanged', async (t) => {
   const emulator = new SharedStoreEmulator();
   await jobNode(emulator, OWNER).service.submit(specification('job', 2), always);
   const body = await jobNode(emulator, OTHER).service.itemBody('job', 'item-1', UNRESTRICTED);
@@ -158,7 +161,7 @@
   t.equal('kind' in none && none.kind, 'not_found');
 });
 
-t.test('a job ends at any node, once and again', async (t) => {
+t.test('any node cancels a job, also repeatedly', async (t) => {
   const emulator = new SharedStoreEmulator();
   const owner = jobNode(emulator, OWNER);
   await owner.service.submit(specification('job', 2), always);
@@ -171,7 +174,7 @@
 });
 
 t.test(
-  'items start while a silent store has not taken the job, and are listed after',
+  'items start before an unresponsive store has accepted the job, and are listed afterwards',
   async (t) => {
     const emulator = new SharedStoreEmulator();
     const engine = new ScriptedEngine([stream('a')]);
@@ -189,24 +192,24 @@
   },
 );
 
-t.test('a refusal never promises "not run" of a job whose items have started', async (t) => {
+t.test('a rejection never reports a job whose items have started as not run', async (t) => {
   const emulator = new SharedStoreEmulator();
-  const refusedAtOnce = jobNode(emulator, OWNER);
+  const idleNode = jobNode(emulator, OWNER);
   emulator.setAvailability('refusing');
-  const refused = await refusedAtOnce.service.submit(specification('one', 1), never);
-  t.equal(refused?.kind, 'ledger_unavailable');
+  const rejection = await idleNode.service.submit(specification('one', 1), never);
+  t.equal(rejection?.kind, 'ledger_unavailable');
   const engine = new ScriptedEngine();
   const node = jobNode(emulator, OWNER, engine);
   node.registry.put(worker('w1'));
-  let isWanted = true;
-  const submission = node.service.submit(specification('two', 1), () => isWanted);
+  let isStillNeeded = true;
+  const submission = node.service.submit(specification('two', 1), () => isStillNeeded);
   await workUntil(node, () => engine.requests.length === 1);
-  isWanted = false;
+  isStillNeeded = false;
   t.equal((await submission)?.kind, 'outcome_unknown');
   t.same(engine.cancelled, ['w1']);
 });
 
-t.test('a repeated submission at the same node shares the first one', async (t) => {
+t.test('a repeated submission to the same node shares the outcome of the first one', async (t) => {
   const emulator = new SharedStoreEmulator();
   const engine = new ScriptedEngine();
   const node = jobNode(emulator, OWNER, engine);
@@ -220,7 +223,7 @@
   t.equal(node.service.ownedJobs().length, 1);
 });
 
-t.test('a released job goes on at another node from the last event', async (t) => {
+t.test('a released job resumes on another node after the last event', async (t) => {
   const emulator = new SharedStoreEmulator();
   const open = answer('', { isStream: true, body: openStream(events(0, 'ab')) });
   const first = jobNode(emulator, OWNER, new ScriptedEngine([open]));
@@ -241,18 +244,18 @@
   t.equal('results' in read && read.results[0]?.text, 'a\nb\nc\nd');
 });
 
-/** A body that gives some bytes and stays open. */
+/** A body that sends some bytes and stays open. */
 function openStream(bytes: string): Readable {
-  let isGiven = false;
+  let isSent = false;
   return new Readable({
     read() {
-      if (!isGiven) this.push(Buffer.from(bytes));
-      isGiven = true;
+      if (!isSent) this.push(Buffer.from(bytes));
+      isSent = true;
     },
   });
 }
 
-t.test('a stopping node takes a job for another one to run', async (t) => {
+t.test('a stopping node accepts a job for another node to run', async (t) => {
   const emulator = new SharedStoreEmulator();
   const offered: string[] = [];
   const peers = { ...NO_PEERS, offerReleased: async (job: string) => void offered.push(job) };
@@ -267,7 +270,7 @@
   t.ok(await jobNode(emulator, OTHER).service.takeReleased('job'));
 });
 
-t.test('finished jobs are removed after their retention, open ones are kept', async (t) => {
+t.test('finished jobs are removed after their retention, open ones are not', async (t) => {
   const emulator = new SharedStoreEmulator();
   const node = jobNode(emulator, OWNER);
   const old = (id: string) => ({ ...specification(id, 2), submittedAt: Date.now() - 600_000 });
--- a/test/jobs/job-store.test.ts
+++ b/test/jobs/job-store.test.ts
@@ -22,7 +22,7 @@
   return [store, changed(await store.create(spec, headOf(spec), always))];
 }
 
-t.test('a job is taken once, whoever submits it again', async (t) => {
+t.test('a job is created once, even if another owner submits it again', async (t) => {
   const emulator = new SharedStoreEmulator();
   const [store] = await created(emulator);
   const spec = specification('job', 4);
@@ -32,7 +32,7 @@
   t.same(read, { kind: 'found', value: spec });
 });
 
-t.test('a long specification is kept in parts and read whole', async (t) => {
+t.test('a long specification is stored in parts and read back', async (t) => {
   const emulator = new SharedStoreEmulator();
   const store = new JobStore(emulator, new ManualClock());
   const plain = specification('job', 40);
@@ -54,7 +54,7 @@
   t.same(await store.results('job', 1), { kind: 'found', value: [[result(0), result(1)]] });
 });
 
-t.test('of two owners only one lists at a position', async (t) => {
+t.test('only one of two owners lists results at a position', async (t) => {
   const [store, base] = await created(new SharedStoreEmulator());
   const one = await store.append('job', base, [result(0)], undefined, always);
   const two = await store.append('job', base, [result(1)], undefined, always);
@@ -63,7 +63,7 @@
   t.same(await store.results('job', 0), { kind: 'found', value: [[result(0)]] });
 });
 
-t.test('a commit whose answer is lost counts once', async (t) => {
+t.test('a commit whose response is lost takes effect once', async (t) => {
   const emulator = new SharedStoreEmulator();
   const [store, base] = await created(emulator);
   emulator.loseAnswers('applied');
@@ -72,7 +72,7 @@
   t.same(await store.results('job', 0), { kind: 'found', value: [[result(0)]] });
 });
 
-t.test('a commit that is done late does nothing after its repetition', async (t) => {
+t.test('a delayed commit has no effect after its retry', async (t) => {
   const emulator = new SharedStoreEmulator();
   const [store, base] = await created(emulator);
   emulator.loseAnswers('applied-late');
@@ -85,7 +85,7 @@
   t.same(await store.results('job', 0), { kind: 'found', value: [[result(0)], [result(1)]] });
 });
 
-t.test('a refusal by the store is told apart from an unknown outcome', async (t) => {
+t.test('a rejection by the store is distinguished from an unknown outcome', async (t) => {
   const emulator = new SharedStoreEmulator();
   const store = new JobStore(emulator, new ManualClock());
   const spec = specification('job', 1);
@@ -98,14 +98,14 @@
   t.same(unknown, { kind: 'unavailable', mayBeDone: true });
 });
 
-t.test('progress of unfinished items is kept with the results', async (t) => {
+t.test('progress of unfinished items is stored with the results', async (t) => {
   const [store, base] = await created(new SharedStoreEmulator());
   const progress = { 'item-3': { events: ['a', 'b'], lastEventId: 1, versions: [4] } };
   changed(await store.append('job', base, [result(0)], progress, always));
   t.same(await store.progress('job'), { kind: 'found', value: progress });
 });
 
-t.test('an unknown job is absent, a silent store is not', async (t) => {
+t.test('an unknown job is absent, an unavailable store is reported as unavailable', async (t) => {
   const emulator = new SharedStoreEmulator();
   const store = new JobStore(emulator, new ManualClock());
   t.same(await store.head('none'), { kind: 'absent' });
--- a/test/jobs/near-zone.test.ts
+++ b/test/jobs/near-zone.test.ts
@@ -1,7 +1,6 @@
 /**
- * The load: three trainers in three zones, each with more items than their zone's workers have places.
- * Owners of jobs that spread items over all zones met at the same workers (22 of 100 arrivals refused
- * as full on a day at 60 nodes), and all texts crossed between zones.
+ * Guards against owners in several zones that place items on the same workers, and against needless
+ * traffic between zones.
  */
 import t from 'tap';
 import type { ItemNeeds } from '../../src/jobs/item-placement.js';
@@ -21,17 +20,17 @@
   boundVersion: undefined,
 };
 
-/** Twelve workers in three zones; those of the last zone make events at the given time each. */
-function fleet(lastPace = 40): KnownWorker[] {
+/** Twelve workers in three zones; `lastInterval` is the event interval of the last zone. */
+function fleet(lastInterval = 40): KnownWorker[] {
   return Array.from({ length: 12 }, (_, index) => {
     const zone = ZONES[index % 3] ?? '';
-    const made = new KnownWorker(worker(`w-${index}`, { slots: SLOTS, zone }));
-    made.noteEventInterval(zone === 'zone-2' ? lastPace : 40);
-    return made;
+    const created = new KnownWorker(worker(`w-${index}`, { slots: SLOTS, zone }));
+    created.noteEventInterval(zone === 'zone-2' ? lastInterval : 40);
+    return created;
   });
 }
 
-/** Places items and counts them by the zone of their workers. */
+/** Places items and returns their counts by worker zone. */
 function placeItems(workers: KnownWorker[], items: number, nearZone?: string): number[] {
   const wayCost =
     nearZone === undefined ? undefined : itemDistanceCost(topologyWithoutRegions(nearZone), true);
@@ -47,24 +46,21 @@
   return [...counts.values()];
 }
 
-t.test(
-  'items go to the near zone while its workers are no more than half as full again',
-  async (t) => {
-    t.same(placeItems(fleet(), 14, 'zone-0'), [14, 0, 0]);
-    t.same(placeItems(fleet(), 14), [5, 5, 4], 'without a near zone: to all alike');
-  },
-);
+t.test('items go to the near zone while its workers are not much fuller than others', async (t) => {
+  t.same(placeItems(fleet(), 14, 'zone-0'), [14, 0, 0]);
+  t.same(placeItems(fleet(), 14), [5, 5, 4], 'without a near zone: to all zones equally');
+});
 
 t.test(
-  'more than the near workers can bear goes to the others, and all find a place',
+  'items that the near workers cannot run go to other zones, and all are placed',
   async (t) => {
     const [near = 0, ...far] = placeItems(fleet(), 60, 'zone-0');
     t.equal(near + (far[0] ?? 0) + (far[1] ?? 0), 60);
-    t.ok(near >= 28, `${near} of 32 near places taken`);
+    t.ok(near >= 28, `${near} of 32 near slots taken`);
   },
 );
 
-t.test('a near worker that is slower by half is no reason to stay', async (t) => {
+t.test('items leave the near zone if its workers are slower by half', async (t) => {
   const counts = placeItems(fleet(60), 8, 'zone-2');
   t.equal(counts[2], 0);
 });
--- a/test/jobs/older-build.test.ts
+++ b/test/jobs/older-build.test.ts
@@ -1,4 +1,4 @@
-/** Jobs that nodes of this build and of format 1 run in turn, by what lies in the shared store. */
+/** Compatibility of job records in the shared store between this build and format 1. */
 import t from 'tap';
 import { SharedStoreEmulator } from '../../lab/emulator/shared-store-emulator.js';
 import { JOB_KEYS } from '../../src/jobs/job-records.js';
@@ -9,7 +9,7 @@
 
 const HEAD = JOB_KEYS.head('job');
 
-/** A store with what a build of format 1 left of a job. */
+/** A store with the job records of a build of format 1. */
 async function storeOfOlderBuild() {
   const emulator = new SharedStoreEmulator();
   const jobs = Object.entries(RECORDS).filter(([key]) => key.startsWith('job/'));
@@ -28,7 +28,7 @@
   return outcome.kind === 'item' ? (outcome.item?.value ?? '') : outcome.kind;
 }
 
-/** What a build of format 1 reads of a record. */
+/** Parses a record as a build of format 1 does. */
 function asOlderBuild<Kind extends 'head' | 'specification' | 'page' | 'progress'>(
   kind: Kind,
   text: string,
@@ -36,7 +36,7 @@
   return FORMAT_1[kind].safeParse(JSON.parse(text));
 }
 
-t.test('a job of an older build is read and goes on', async (t) => {
+t.test('a job of an older build is read and continued', async (t) => {
   const { store } = await storeOfOlderBuild();
   const found = await headIn(store);
   t.same(found.head, JSON.parse(RECORDS['job/head/job']));
@@ -53,14 +53,14 @@
   t.match(listed, { kind: 'changed', current: { head: { listed: 2, pages: 2, zone: 'zone-1' } } });
 });
 
-t.test('what this build writes of a job is read by an older one', async (t) => {
+t.test('an older build reads the records that this build writes', async (t) => {
   const emulator = new SharedStoreEmulator();
   const store = new JobStore(emulator, new ManualClock());
   const spec = specification('job', 2);
-  const made = await store.create(spec, { ...headOf(spec), zone: 'zone-1', term: 1 }, always);
-  if (made.kind !== 'changed') throw new Error(made.kind);
+  const created = await store.create(spec, { ...headOf(spec), zone: 'zone-1', term: 1 }, always);
+  if (created.kind !== 'changed') throw new Error(created.kind);
   const progress = { 'item-1': { events: ['a'], lastEventId: 0, versions: [1] } };
-  await store.append('job', made.current, [result(0)], progress, always);
+  await store.append('job', created.current, [result(0)], progress, always);
   for (const [kind, key] of [
     ['head', HEAD],
     ['specification', JOB_KEYS.specification('job', 0)],
@@ -85,10 +85,10 @@
   t.match(after, { homes: ['north'], owner: { region: 'north' }, listed: 2 });
 });
 
-t.test('a head that an older build wrote again has what this one needs', async (t) => {
+t.test('a head that an older build rewrote has all fields that this build needs', async (t) => {
   const { emulator, store } = await storeOfOlderBuild();
-  const kept = asOlderBuild('head', await textOf(emulator, HEAD)).data;
-  const rewritten = { ...kept, owner: OTHER, term: 3, changeId: 'older' };
+  const parsed = asOlderBuild('head', await textOf(emulator, HEAD)).data;
+  const rewritten = { ...parsed, owner: OTHER, term: 3, changeId: 'older' };
   await emulator.commit({ expected: [], put: [{ key: HEAD, value: JSON.stringify(rewritten) }] });
   const found = await headIn(store);
   t.match(found.head, { owner: OTHER, zone: 'zone-1', tenant: 'tenant-1', term: 3 });
--- a/test/jobs/owned-job.test.ts
+++ b/test/jobs/owned-job.test.ts
@@ -34,19 +34,19 @@
   return { emulator, store, clock, spec, job };
 }
 
-/** The head of a job that the store has taken. */
-function held(job: OwnedJob): VersionedHead {
-  if (job.head === undefined) throw new Error('the store has not taken the job');
+/** The head of a stored job. */
+function storedHead(job: OwnedJob): VersionedHead {
+  if (job.head === undefined) throw new Error('the store has not accepted the job');
   return job.head;
 }
 
-/** Finishes one item with its result. */
+/** Finishes an item with its result. */
 function finish(job: OwnedJob, index: number): void {
   const entry = job.items.get(`item-${index}`);
   if (entry !== undefined) job.finish(entry, result(index));
 }
 
-/** Lets what is due be done and waits until the job changed. */
+/** Advances the clock and the job, and waits until the job has changed. */
 async function advance({ job, clock }: Fixture): Promise<void> {
   clock.time += 2_000;
   const done = new Promise<void>((resolve) => job.changed.subscribe(() => resolve()));
@@ -63,7 +63,7 @@
   t.same(await fixture.store.results('job', 0), { kind: 'found', value: [[result(2), result(0)]] });
 });
 
-t.test('an item that finishes while a commit is under way belongs to the next one', async (t) => {
+t.test('an item that finishes during a commit belongs to the next one', async (t) => {
   const fixture = await ownedJob(4);
   const { job, emulator, store } = fixture;
   const commit = emulator.commit.bind(emulator);
@@ -88,31 +88,28 @@
   t.equal(fixture.job.closeReason, 'finished');
 });
 
-t.test('an end by another node is seen and nothing more is listed', async (t) => {
+t.test('a cancellation by another node closes the job', async (t) => {
   const fixture = await ownedJob(2);
   const { job, store } = fixture;
-  await store.replace('job', held(job), { ended: true }, always);
+  await store.replace('job', storedHead(job), { ended: true }, always);
   await advance(fixture);
   t.equal(job.closeReason, 'ended');
 });
 
-t.test(
-  'a woken owner whose job another node took and ended knows that it is not whole',
-  async (t) => {
-    const fixture = await ownedJob(3);
-    const { job, store } = fixture;
-    const adopted = await store.replace('job', held(job), { owner: OTHER }, always);
-    if (adopted.kind !== 'changed') throw new Error(adopted.kind);
-    const listed = await store.append('job', adopted.current, [result(0)], undefined, always);
-    if (listed.kind !== 'changed') throw new Error(listed.kind);
-    await store.replace('job', listed.current, { ended: true }, always);
-    await advance(fixture);
-    t.equal(job.closeReason, 'superseded');
-    t.same(job.results, []);
-  },
-);
+t.test('a resumed owner detects that its job was taken over and cancelled meanwhile', async (t) => {
+  const fixture = await ownedJob(3);
+  const { job, store } = fixture;
+  const takenOver = await store.replace('job', storedHead(job), { owner: OTHER }, always);
+  if (takenOver.kind !== 'changed') throw new Error(takenOver.kind);
+  const listed = await store.append('job', takenOver.current, [result(0)], undefined, always);
+  if (listed.kind !== 'changed') throw new Error(listed.kind);
+  await store.replace('job', listed.current, { ended: true }, always);
+  await advance(fixture);
+  t.equal(job.closeReason, 'superseded');
+  t.same(job.results, []);
+});
 
-t.test('a released job is free, with what was made of its items', async (t) => {
+t.test('a released job has no owner, and the progress of its items is stored', async (t) => {
   const { job, store } = await ownedJob(2);
   const entry = job.items.get('item-1');
   entry?.progress.beginRun(5);
@@ -127,7 +124,7 @@
   });
 });
 
-t.test('results that no single value holds are listed in several pages', async (t) => {
+t.test('results that exceed one value are listed in several pages', async (t) => {
   const fixture = await ownedJob(300);
   const text = 'x'.repeat(7_000);
   for (const entry of fixture.job.items.values()) {
@@ -143,18 +140,21 @@
   t.ok((fixture.job.head?.head.pages ?? 0) > 1);
 });
 
-t.test('what is kept of unfinished items never keeps results from being listed', async (t) => {
-  const fixture = await ownedJob(300);
-  const data = 'x'.repeat(300);
-  for (const entry of fixture.job.items.values()) {
-    entry.progress.beginRun(1);
-    for (let id = 0; id < 20; id += 1) {
-      entry.progress.add({ id, data, weightVersion: 1, raw: Buffer.from(data) });
+t.test(
+  'large progress of unfinished items does not prevent results from being listed',
+  async (t) => {
+    const fixture = await ownedJob(300);
+    const data = 'x'.repeat(300);
+    for (const entry of fixture.job.items.values()) {
+      entry.progress.beginRun(1);
+      for (let id = 0; id < 20; id += 1) {
+        entry.progress.add({ id, data, weightVersion: 1, raw: Buffer.from(data) });
+      }
     }
-  }
-  finish(fixture.job, 0);
-  await advance(fixture);
-  t.equal(fixture.job.results.length, 1);
-  const kept = await fixture.store.progress('job');
-  t.ok(kept.kind === 'found' && Object.keys(kept.value).length > 50);
-});
+    finish(fixture.job, 0);
+    await advance(fixture);
+    t.equal(fixture.job.results.length, 1);
+    const progress = await fixture.store.progress('job');
+    t.ok(progress.kind === 'found' && Object.keys(progress.value).length > 50);
+  },
+);
--- a/test/jobs/surrendered-job.test.ts
+++ b/test/jobs/partitioned-owner.test.ts
@@ -1,3 +1,4 @@
+/** A job whose partitioned owner releases it, with its work, to the node that takes it over. */
 import { Readable } from 'node:stream';
 import t from 'tap';
 import { NO_PEERS } from '../../lab/common/no-peers.js';
@@ -12,15 +13,15 @@
 import { always, OTHER, OWNER, specification } from './job-fixtures.js';
 import { jobNode, keepWorking } from './job-node.js';
 
-/** A stream that gives some events and then nothing more. */
+/** A stream that sends some events and then stalls. */
 function pausingAnswer(letters: string): EngineOutcome {
   const body = new Readable({ read: () => {} });
   body.push(Buffer.from(events(0, letters)));
   return answer('', { body, isStream: true });
 }
 
-/** An owner that is cut off after it took a job of two items; one is whole, one has two events. */
-async function cutOffOwner() {
+/** A partitioned owner of a job of two items; one is completed, one has two events. */
+async function partitionedOwner() {
   const emulator = new SharedStoreEmulator();
   const link = new StoreLink(emulator);
   const engine = new ScriptedEngine([
@@ -39,15 +40,15 @@
     for (const open of owner.service.ownedJobs()) open.abandon();
   };
   await eventually(() => {
-    const kept = job?.unfinishedProgress()['item-0'];
-    return job?.finishedResults().length === 1 && kept?.events.length === 2;
+    const progress = job?.unfinishedProgress()['item-0'];
+    return job?.finishedResults().length === 1 && progress?.events.length === 2;
   });
   return { emulator, owner, engine, stop };
 }
 
-t.test('a job passes from an owner that is cut off with all that was made of it', async (t) => {
-  const { emulator, owner, engine, stop } = await cutOffOwner();
-  t.equal(owner.service.ownedJobs()[0]?.results.length, 0, 'nothing could be listed');
+t.test('a job passes from a partitioned owner to the new one with all work on it', async (t) => {
+  const { emulator, owner, engine, stop } = await partitionedOwner();
+  t.equal(owner.service.ownedJobs()[0]?.results.length, 0, 'no results could be listed');
   const nextEngine = new ScriptedEngine([answer(events(2, 'z'), { isStream: true })]);
   const peers = {
     ...NO_PEERS,
@@ -77,8 +78,8 @@
   stop();
 });
 
-t.test('an owner that cannot be sure does not say that nothing more is listed', async (t) => {
-  const { owner, stop } = await cutOffOwner();
+t.test('an unconfirmed owner does not report that nothing more is listed', async (t) => {
+  const { owner, stop } = await partitionedOwner();
   await PROCESS_CLOCK.sleep(800);
   t.same(await owner.service.ownListing('job', 0, 0), { isOwner: false });
   const read = await owner.service.read('job', 0, 0, UNRESTRICTED);
@@ -86,15 +87,15 @@
   stop();
 });
 
-t.test('a node that is cut off has others take in, read and end jobs', async (t) => {
+t.test('a partitioned node forwards submissions, reads and cancellations', async (t) => {
   const slice = { total: 3, results: [], nextPosition: 0 };
-  const ended: string[] = [];
+  const cancelled: string[] = [];
   const peers = {
     ...NO_PEERS,
     submitElsewhere: async () => ({ kind: 'answered', failure: undefined }) as const,
     readElsewhere: async () => slice,
     cancelElsewhere: async (job: string) => {
-      ended.push(job);
+      cancelled.push(job);
       return { failure: undefined };
     },
   };
@@ -102,9 +103,9 @@
   emulator.setAvailability('refusing');
   const node = jobNode(emulator, OWNER, new ScriptedEngine(), peers);
   t.equal(await node.service.submit(specification('job', 1), always), undefined);
-  t.same(node.service.ownedJobs(), [], 'it is run by the other node');
+  t.same(node.service.ownedJobs(), [], 'the other node runs the job');
   t.equal(await node.service.read('job', 0, 0, UNRESTRICTED), slice);
   t.equal(await node.service.cancel('job', UNRESTRICTED, always), undefined);
-  t.same(ended, ['job']);
+  t.same(cancelled, ['job']);
   node.dispatcher.stop();
 });
--- a/test/jobs/placement-round.test.ts
+++ b/test/jobs/placement-round.test.ts
@@ -1,12 +1,6 @@
 /**
- * What was seen: with 3,003 workers no item of any job began before a day was given up, and changes of
- * the configuration came into force after 3.9 s; lookups were served. Order of events: each item that
- * waited was compared with every worker, for which the median of all paces was sorted anew; one look
- * for 1,600 items took 1.9 s of a whole core, and there is one after each end of a run, so that the
- * few nodes that own jobs did nothing else, and told their followers nothing.
- *
- * Evidence: a third of a core was used to 92.5% at the busiest node; and the counts below, which were
- * 3,003 comparisons an item.
+ * Guards against placement that compares every waiting item with every worker of a large fleet, which
+ * blocks the owners of jobs.
  */
 import t from 'tap';
 import type { ItemNeeds } from '../../src/jobs/item-placement.js';
@@ -25,10 +19,10 @@
   boundVersion: undefined,
 };
 
-/** A worker that counts how often it is looked at. */
+/** A worker that counts its comparisons and version reads. */
 class CountingWorker extends KnownWorker {
   static comparisons = 0;
-  static looks = 0;
+  static versionReads = 0;
 
   override occupancy(now: number): number {
     CountingWorker.comparisons += 1;
@@ -36,19 +30,19 @@
   }
 
   override versionOf(model: string): number {
-    CountingWorker.looks += 1;
+    CountingWorker.versionReads += 1;
     return super.versionOf(model);
   }
 }
 
 function largeFleet(fields = {}): CountingWorker[] {
   CountingWorker.comparisons = 0;
-  CountingWorker.looks = 0;
+  CountingWorker.versionReads = 0;
   return Array.from({ length: WORKERS }, (_, index) => {
-    const made = new CountingWorker(worker(`w-${index}`, { slots: SLOTS, ...fields }));
-    // A third is slower by a third.
-    made.noteEventInterval(index % 3 === 0 ? 52 : 40);
-    return made;
+    const created = new CountingWorker(worker(`w-${index}`, { slots: SLOTS, ...fields }));
+    // A third of the workers is slower by a third.
+    created.noteEventInterval(index % 3 === 0 ? 52 : 40);
+    return created;
   });
 }
 
@@ -63,7 +57,7 @@
   return placed;
 }
 
-t.test('many items find places in a large fleet without asking every worker', async (t) => {
+t.test('many items are placed in a large fleet without comparing every worker', async (t) => {
   const workers = largeFleet();
   const placed = placeAll(new PlacementRound(workers, NOW), ITEMS);
   t.equal(placed.length, ITEMS);
@@ -73,22 +67,25 @@
   t.ok(slow < ITEMS / 10, `${slow} of ${ITEMS} at slower workers while fast ones are free`);
 });
 
-t.test('every place of a large fleet is found', async (t) => {
+t.test('every slot of a large fleet is found', async (t) => {
   const workers = largeFleet({ slots: 1 });
   t.equal(placeAll(new PlacementRound(workers, NOW), WORKERS + 100).length, WORKERS);
 });
 
-t.test('items that no worker can run are looked for once', async (t) => {
+t.test('items that no worker can run are searched for once', async (t) => {
   const round = new PlacementRound(largeFleet(), NOW);
   const needs = { ...NEEDS, minVersion: 9 };
   t.equal(placeAll(round, ITEMS, needs).length, 0);
-  t.ok(CountingWorker.looks <= WORKERS, `${CountingWorker.looks} looks for ${ITEMS} items`);
-  t.ok(round.place(NEEDS, undefined) !== undefined, 'other needs are met all the same');
+  t.ok(
+    CountingWorker.versionReads <= WORKERS,
+    `${CountingWorker.versionReads} reads for ${ITEMS} items`,
+  );
+  t.ok(round.place(NEEDS, undefined) !== undefined, 'other needs are still met');
 });
 
-t.test('the worker that has read the shared prompt is compared, wherever it stands', async (t) => {
+t.test('the worker that has cached the shared prompt is always compared', async (t) => {
   const workers = largeFleet();
-  for (const one of workers) one.inFlight = 2;
+  for (const entry of workers) entry.inFlight = 2;
   const reader = workers[WORKERS - 2];
   t.equal(reader?.eventInterval, 40);
   t.equal(new PlacementRound(workers, NOW).place(NEEDS, reader?.record.id), reader);
--- a/test/jobs/looks-from-anywhere.test.ts
+++ b/test/jobs/status-requests.test.ts
@@ -1,8 +1,6 @@
 /**
- * Other clients of a tenant look at its jobs at any gateway: they read from any position, ask for
- * bodies, end a job once more, and hand one in again whose submission was just confirmed. Whatever
- * happens to gateways meanwhile, an answer is right or says that it can't be given now; and soon
- * after, each gateway gives the right one.
+ * Status requests of clients to any gateway during faults: reads, bodies, repeated cancellations and
+ * repeated submissions are answered correctly or as unavailable, and soon afterwards correctly.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 import t from 'tap';
@@ -22,26 +20,26 @@
 const REPLICAS = 3;
 const ITEMS = 6;
 
-/** The item that fails at each attempt, those that are whole later, and one that never is. */
+/** The item whose attempts all fail, those that complete later, and one that never completes. */
 const FAILING = 'item-1';
 const LATE: readonly string[] = ['item-3', 'item-4'];
 const ENDLESS = 'item-5';
 
-/** Items that are listed before anything happens. */
+/** Number of items listed before the disturbance. */
 const LISTED_FIRST = ITEMS - LATE.length - 1;
 
-/** Time after a confirmation at which clients come again. */
+/** Time after the submission at which clients repeat it. */
 const REPEAT_DELAY: Milliseconds = 1_000;
 
-/** Length of a disturbance: longer than a takeover takes. */
-const DISTURBED: Milliseconds = 3_000;
+/** Duration of a disturbance; longer than a takeover. */
+const DISTURBANCE_TIME: Milliseconds = 3_000;
 
-/** Time by which all gateways answer again. */
-const SETTLED: Milliseconds = 6_000;
+/** Time within which all gateways answer again. */
+const RECOVERY_TIMEOUT: Milliseconds = 6_000;
 
-/** Runs items at once, but for those that are late or endless. */
+/** Completes items immediately, except the late and the endless ones. */
 class ItemWorkers extends ScriptedEngine {
-  /** Whether the late items are whole at their next run. */
+  /** Whether the late items still hang. */
   isLate = true;
 
   override async send(request: EngineRequest, signal: AbortSignal): Promise<EngineOutcome> {
@@ -57,20 +55,21 @@
   readonly fleet: JoinedGateways;
   readonly workers: ItemWorkers;
   readonly spec: JobSpecification;
-  /** What any client has read so far. */
-  readonly told: JobResult[];
+  /** Results that any client has read so far. */
+  readonly seen: JobResult[];
 }
 
 const isFailure = (value: object): value is Failure => 'detail' in value;
 
-/** Failures by which a gateway says that it does not know now. */
-const UNSURE: readonly string[] = ['ledger_unavailable', 'outcome_unknown'];
+/** Kinds of failures that mean that a gateway cannot answer now. */
+const UNAVAILABLE_KINDS: readonly string[] = ['ledger_unavailable', 'outcome_unknown'];
 
-const isUnsure = (value: object): boolean => isFailure(value) && UNSURE.includes(value.kind);
+const isUnavailable = (value: object): boolean =>
+  isFailure(value) && UNAVAILABLE_KINDS.includes(value.kind);
 
 function ownerIn(fleet: JoinedGateways): JoinedGateway {
   const owner = fleet.gateways.find(({ node }) => node.jobs.ownedJobs().some((job) => job.isOpen));
-  if (owner === undefined) throw new Error('nobody runs the job');
+  if (owner === undefined) throw new Error('no gateway runs the job');
   return owner;
 }
 
@@ -90,15 +89,15 @@
   }
 }
 
-/** A job, of which the first items are listed. */
+/** A fleet with a job whose first items are listed. */
 async function jobInFleet(
   test: Pick<typeof t, 'teardown'>,
-  zonesServeAlone: boolean,
+  areZonesAutonomous: boolean,
 ): Promise<JobInFleet> {
   const workers = new ItemWorkers();
-  const fleet = new JoinedGateways(workers, { replicasOfJob: zonesServeAlone ? REPLICAS : 0 });
+  const fleet = new JoinedGateways(workers, { replicasOfJob: areZonesAutonomous ? REPLICAS : 0 });
   test.teardown(() => fleet.stop());
-  if (zonesServeAlone) await addReplicas(test, fleet);
+  if (areZonesAutonomous) await addReplicas(test, fleet);
   await fleet.start(GATEWAYS, 1, ZONES.length);
   await fleet.formed();
   fleet.register('w1');
@@ -107,80 +106,83 @@
   const spec = { ...specification('job', ITEMS), host: HOST, path: '/rollouts/' };
   const [first] = fleet.gateways;
   if (first === undefined) throw new Error('there is no gateway');
-  const refusal = await first.node.submit(spec, () => true);
-  if (refusal !== undefined) throw new Error(refusal.detail);
+  const rejection = await first.node.submit(spec, () => true);
+  if (rejection !== undefined) throw new Error(rejection.detail);
   await eventually(() => ownerIn(fleet).node.jobs.ownedJobs()[0]?.results.length === LISTED_FIRST);
-  const told = ownerIn(fleet).node.jobs.ownedJobs()[0]?.results ?? [];
-  return { fleet, workers, spec, told: [...told] };
+  const seen = ownerIn(fleet).node.jobs.ownedJobs()[0]?.results ?? [];
+  return { fleet, workers, spec, seen: [...seen] };
 }
 
-const endAt = ({ node }: JoinedGateway): Promise<Failure | undefined> =>
+const cancelAt = ({ node }: JoinedGateway): Promise<Failure | undefined> =>
   node.jobs.cancel('job', UNRESTRICTED, () => false);
 
-/** What one look at a gateway came to: whether it knew, and what was wrong. */
-interface Look {
-  readonly isSure: boolean;
-  readonly wrong: readonly string[];
+/** Outcome of checking one gateway: whether it could answer all requests, and wrong answers. */
+interface CheckOutcome {
+  readonly isAvailable: boolean;
+  readonly errors: readonly string[];
 }
 
-/** Whether a read agrees with what others were told, and lacks nothing of it; takes in the rest. */
-function takeRead(
-  told: JobResult[],
-  toldBefore: number,
+/** Whether a read agrees with the results seen before and lacks none; adds new ones. */
+function mergeRead(
+  seen: JobResult[],
+  seenBefore: number,
   position: number,
   read: JobResult[],
 ): boolean {
-  const known = told.slice(position, position + read.length);
-  told.push(...read.slice(known.length));
+  const known = seen.slice(position, position + read.length);
+  seen.push(...read.slice(known.length));
   const isSame = JSON.stringify(read.slice(0, known.length)) === JSON.stringify(known);
-  return isSame && (read.length > 0 || position >= toldBefore);
+  return isSame && (read.length > 0 || position >= seenBefore);
 }
 
-/** All that a client may ask of a job, at one gateway. */
-async function lookAt(gateway: JoinedGateway, { spec, told }: JobInFleet): Promise<Look> {
+/** Sends all status requests of a client to one gateway and checks the answers. */
+async function checkGateway(
+  gateway: JoinedGateway,
+  { spec, seen }: JobInFleet,
+): Promise<CheckOutcome> {
   const { jobs } = gateway.node;
-  const wrong: string[] = [];
-  let isSure = true;
-  const note = (what: string, answered: object | undefined, isRight: boolean): void => {
-    if (answered !== undefined && isUnsure(answered)) isSure = false;
-    else if (!isRight) wrong.push(`${gateway.name}: ${what}: ${JSON.stringify(answered)}`);
+  const errors: string[] = [];
+  let isAvailable = true;
+  const check = (request: string, answered: object | undefined, isRight: boolean): void => {
+    if (answered !== undefined && isUnavailable(answered)) isAvailable = false;
+    else if (!isRight) errors.push(`${gateway.name}: ${request}: ${JSON.stringify(answered)}`);
   };
-  for (let position = 0; position <= told.length; position += 1) {
-    const before = told.length;
+  for (let position = 0; position <= seen.length; position += 1) {
+    const before = seen.length;
     const read = await jobs.read('job', position, 0, UNRESTRICTED);
-    const isRight = !isFailure(read) && takeRead(told, before, position, [...read.results]);
-    note(`position ${position} of ${before}`, read, isRight);
+    const isRight = !isFailure(read) && mergeRead(seen, before, position, [...read.results]);
+    check(`position ${position} of ${before}`, read, isRight);
   }
   const body = await jobs.itemBody('job', ENDLESS, UNRESTRICTED);
-  const wanted = spec.items.find(({ id }) => id === ENDLESS)?.body;
-  note('body', body, Buffer.isBuffer(body) && body.toString('base64') === wanted);
-  const refusal = await gateway.node.submit(spec, () => false);
-  note('submission', refusal, refusal === undefined);
-  return { isSure, wrong };
+  const expected = spec.items.find(({ id }) => id === ENDLESS)?.body;
+  check('body', body, Buffer.isBuffer(body) && body.toString('base64') === expected);
+  const rejection = await gateway.node.submit(spec, () => false);
+  check('submission', rejection, rejection === undefined);
+  return { isAvailable, errors };
 }
 
-/** Looks at all gateways; tells what was wrong. */
-async function lookEverywhere(job: JobInFleet): Promise<string[]> {
-  const looks = await Promise.all(job.fleet.gateways.map((gateway) => lookAt(gateway, job)));
-  return looks.flatMap(({ wrong }) => wrong);
+/** Checks all gateways; returns the wrong answers. */
+async function checkAll(job: JobInFleet): Promise<string[]> {
+  const checks = await Promise.all(job.fleet.gateways.map((gateway) => checkGateway(gateway, job)));
+  return checks.flatMap(({ errors }) => errors);
 }
 
-/** Looks until each gateway has answered all; tells what was wrong, and who did not answer. */
-async function lookUntilSure(job: JobInFleet): Promise<string[]> {
-  const limit = performance.now() + SETTLED;
-  const looks = job.fleet.gateways.map(async (gateway) => {
+/** Checks each gateway until it answers all requests; returns wrong and missing answers. */
+async function checkUntilAvailable(job: JobInFleet): Promise<string[]> {
+  const limit = performance.now() + RECOVERY_TIMEOUT;
+  const checks = job.fleet.gateways.map(async (gateway) => {
     for (;;) {
-      const { isSure, wrong } = await lookAt(gateway, job);
-      if (wrong.length > 0) return wrong;
-      if (isSure) return [];
-      if (performance.now() > limit) return [`${gateway.name} is not sure`];
+      const { isAvailable, errors } = await checkGateway(gateway, job);
+      if (errors.length > 0) return errors;
+      if (isAvailable) return [];
+      if (performance.now() > limit) return [`${gateway.name} does not answer`];
       await sleep(50);
     }
   });
-  return (await Promise.all(looks)).flat();
+  return (await Promise.all(checks)).flat();
 }
 
-/** Something that happens to gateways while they are looked at; the function it gives ends it. */
+/** A fault during the checks; `begin` returns the function that ends it. */
 interface Disturbance {
   readonly name: string;
   readonly begin: (fleet: JoinedGateways) => () => void;
@@ -193,7 +195,7 @@
   };
 }
 
-/** Cuts the zone of a gateway off from the store and from the other zone. */
+/** Partitions the zone of a gateway from the store and from the other zone. */
 function cutZone(fleet: JoinedGateways, { zone }: JoinedGateway): () => void {
   fleet.cutZones.add(zone);
   const restore = cut(fleet.gateways.filter((gateway) => gateway.zone === zone));
@@ -250,56 +252,56 @@
   },
 ];
 
-// Each fleet mostly waits.
+// The fleets mostly wait, so several tests run at a time.
 t.jobs = 6;
 
-t.test('an item that is given up is told as terminated, at its position', async (t) => {
+t.test('an item whose attempts all fail is listed as terminated, at its position', async (t) => {
   const job = await jobInFleet(t, false);
-  const states = Object.fromEntries(job.told.map(({ id, state }) => [id, state]));
+  const states = Object.fromEntries(job.seen.map(({ id, state }) => [id, state]));
   t.same(states, { 'item-0': 'completed', [FAILING]: 'terminated', 'item-2': 'completed' });
 });
 
-for (const zonesServeAlone of [false, true]) {
-  const where = zonesServeAlone ? ' where zones serve alone' : '';
+for (const areZonesAutonomous of [false, true]) {
+  const where = areZonesAutonomous ? ' with autonomous zones' : '';
   for (const { name, begin } of DISTURBANCES) {
-    t.test(`an open job is looked at through ${name}${where}`, async (t) => {
-      const job = await jobInFleet(t, zonesServeAlone);
+    t.test(`status requests for an open job during ${name}${where}`, async (t) => {
+      const job = await jobInFleet(t, areZonesAutonomous);
       await sleep(REPEAT_DELAY);
       const end = begin(job.fleet);
       job.workers.isLate = false;
-      const until = performance.now() + DISTURBED;
+      const until = performance.now() + DISTURBANCE_TIME;
       while (performance.now() < until) {
-        t.same(await lookEverywhere(job), []);
+        t.same(await checkAll(job), []);
         await sleep(100);
       }
       end();
-      t.same(await lookUntilSure(job), []);
+      t.same(await checkUntilAvailable(job), []);
     });
 
-    t.test(`a job is ended once and again through ${name}${where}`, async (t) => {
-      const job = await jobInFleet(t, zonesServeAlone);
+    t.test(`repeated cancellations of a job during ${name}${where}`, async (t) => {
+      const job = await jobInFleet(t, areZonesAutonomous);
       const end = begin(job.fleet);
       job.workers.isLate = false;
-      const until = performance.now() + DISTURBED;
+      const until = performance.now() + DISTURBANCE_TIME;
       // Long enough for another owner to list more.
-      await sleep(DISTURBED / 2);
+      await sleep(DISTURBANCE_TIME / 2);
       while (performance.now() < until) {
-        t.same(await lookEverywhere(job), []);
+        t.same(await checkAll(job), []);
         for (const gateway of job.fleet.gateways) {
-          const failure = await endAt(gateway);
-          t.ok(failure === undefined || isUnsure(failure), failure?.detail ?? 'ended');
+          const failure = await cancelAt(gateway);
+          t.ok(failure === undefined || isUnavailable(failure), failure?.detail ?? 'ended');
         }
-        t.same(await lookEverywhere(job), []);
+        t.same(await checkAll(job), []);
         await sleep(200);
       }
       end();
-      t.same(await lookUntilSure(job), []);
+      t.same(await checkUntilAvailable(job), []);
       for (const gateway of job.fleet.gateways) {
-        t.equal(await endAt(gateway), undefined, gateway.name);
+        t.equal(await cancelAt(gateway), undefined, gateway.name);
         const open = gateway.node.jobs.ownedJobs().filter((owned) => owned.isOpen);
         t.same(open, [], gateway.name);
       }
-      t.same(await lookUntilSure(job), []);
+      t.same(await checkUntilAvailable(job), []);
     });
   }
 }
--- a/test/jobs/tenant-jobs.test.ts
+++ b/test/jobs/tenant-jobs.test.ts
@@ -18,7 +18,7 @@
   tenant: 'north',
 });
 
-t.test('a job is read, looked into and ended by its tenant only, at any node', async (t) => {
+t.test('only its tenant reads and cancels a job, at any node', async (t) => {
   const emulator = new SharedStoreEmulator();
   const owner = jobNode(emulator, OWNER);
   t.equal(await owner.service.submit(ofNorth(2), always), undefined);
@@ -30,19 +30,19 @@
     t.match(await service.read('job', 0, 0, NORTH), { total: 2 });
     t.ok(Buffer.isBuffer(await service.itemBody('job', 'item-1', NORTH)));
   }
-  t.equal(owner.service.ownedJobs()[0]?.isOpen, true, 'nobody else has ended it');
+  t.equal(owner.service.ownedJobs()[0]?.isOpen, true, 'no other caller has cancelled it');
   t.equal(await jobNode(emulator, OTHER).service.cancel('job', NORTH, always), undefined);
 });
 
-t.test('what another tenant is told of a job is the same as of none', async (t) => {
+t.test('another tenant gets the same response as for an absent job', async (t) => {
   const emulator = new SharedStoreEmulator();
   const node = jobNode(emulator, OWNER);
   await node.service.submit(ofNorth(1), always);
   t.same(await node.service.read('job', 0, 0, SOUTH), await node.service.read('no', 0, 0, SOUTH));
-  t.match(node.lines.join('\n'), /job-access-refused/, 'the log tells them apart');
+  t.match(node.lines.join('\n'), /job-access-refused/, 'only the log shows the difference');
 });
 
-t.test('a job of another tenant under the same id is not taken for a repetition', async (t) => {
+t.test('a job of another tenant with the same id is not treated as a repetition', async (t) => {
   const emulator = new SharedStoreEmulator();
   const node = jobNode(emulator, OWNER);
   await node.service.submit(ofNorth(1), always);
@@ -53,7 +53,7 @@
   }
 });
 
-t.test('a job that was stored without a tenant is still read', async (t) => {
+t.test('a job that was stored without a tenant can still be read', async (t) => {
   const emulator = new SharedStoreEmulator();
   await jobNode(emulator, OWNER).service.submit(specification('job', 1), always);
   t.match(await jobNode(emulator, OTHER).service.read('job', 0, 0, NORTH), { total: 1 });
--- a/test/jobs/doubtful-job.test.ts
+++ b/test/jobs/unconfirmed-job.test.ts
@@ -1,11 +1,6 @@
 /**
- * What was seen: an item of a job reached a worker 3.17 s after the end of its job had been confirmed
- * to the trainer; 3 s are allowed. Order of events: the node that took the end did not get an answer of
- * the job's owner in time and ended the job in the store; the owner, on an eighth of a core, was that
- * far behind with its look at the head, and went on sending.
- *
- * Evidence: the times of the end (17.2 s asked, 18.1 s confirmed) and of the item's arrival (21.3 s),
- * on machines of 0.12 cores.
+ * Guards against an owner that sends items long after another node cancelled its job in the store,
+ * because a slow owner has not read the head of the job since.
  */
 import t from 'tap';
 import { NO_PEERS } from '../../lab/common/no-peers.js';
@@ -16,7 +11,7 @@
 import { always, headOf, ManualClock, OWNER, specification } from './job-fixtures.js';
 import { type JobNode, jobNode, workUntil } from './job-node.js';
 
-t.test('a job whose head was not confirmed for two seconds is in doubt', async (t) => {
+t.test('a job whose head was not confirmed for two seconds is unconfirmed', async (t) => {
   const clock = new ManualClock();
   const store = new JobStore(new SharedStoreEmulator(), clock);
   const spec = specification('job', 1);
@@ -32,29 +27,33 @@
   t.notOk(job.isUnconfirmed);
 });
 
-/** A node whose reads of heads hang from now on, while the store answers all others. */
-async function nodeInDoubt(isStoreSilent: boolean): Promise<{ node: JobNode; sent: () => number }> {
+/** A node whose reads of heads hang after it has accepted a job. */
+async function unconfirmedNode(
+  isStoreUnreachable: boolean,
+): Promise<{ node: JobNode; sent: () => number }> {
   const emulator = new SharedStoreEmulator();
   const engine = new ScriptedEngine();
-  const node = jobNode(emulator, OWNER, engine, NO_PEERS, { isStoreSilent: () => isStoreSilent });
+  const node = jobNode(emulator, OWNER, engine, NO_PEERS, {
+    isStoreUnreachable: () => isStoreUnreachable,
+  });
   await node.service.submit(specification('job', 1), always);
   emulator.get = () => new Promise(() => {});
   const startedAt = performance.now();
   await workUntil(node, () => performance.now() - startedAt > 2_200);
-  // A worker that may take the item comes only now.
+  // The only worker registers after the ownership has become unconfirmed.
   node.registry.put(worker('w1'));
   return { node, sent: () => engine.requests.length };
 }
 
-t.test('nothing of a job in doubt is sent while the store answers others', async (t) => {
-  const { node, sent } = await nodeInDoubt(false);
+t.test('no items of an unconfirmed job are sent while the store answers other nodes', async (t) => {
+  const { node, sent } = await unconfirmedNode(false);
   for (let tick = 0; tick < 5; tick += 1) node.dispatcher.tick();
   t.equal(sent(), 0);
   node.dispatcher.stop();
 });
 
-t.test('items go on while the store answers nobody', async (t) => {
-  const { node, sent } = await nodeInDoubt(true);
+t.test('items of an unconfirmed job are sent while the store answers no node', async (t) => {
+  const { node, sent } = await unconfirmedNode(true);
   node.dispatcher.tick();
   t.equal(sent(), 1);
   node.dispatcher.stop();
