--- a/src/jobs/item-dispatcher.ts
+++ b/src/jobs/item-dispatcher.ts
@@ -48,7 +48,7 @@
  */
 const CRASH_RETRY_DELAY: Milliseconds = 4_500;
 
-/** Worker crashes after which an item is never sent again. */
+/** Worker crashes after which an item is no longer sent. */
 const MAX_CRASHES_PER_ITEM = 2 * MAX_CRASHED_WORKERS;
 
 /** Dispatches items to workers, moves slow runs and requests scores. */
@@ -127,12 +127,12 @@
       if (!job.isOpen || (job.isUnconfirmed && !this.options.isStoreUnreachable())) continue;
       const waiting = job.waiting(now);
       waiting.sort(byUrgency);
-      for (const entry of waiting) this.start(job, entry, routes, rounds, now);
+      for (const entry of waiting) this.startRun(job, entry, routes, rounds, now);
     }
     this.scorer.dispatch(jobsByAge, routes);
   }
 
-  private start(
+  private startRun(
     job: OwnedJob,
     entry: OwnedItem,
     routes: RouteMatcher,
--- a/src/jobs/item-placement.ts
+++ b/src/jobs/item-placement.ts
@@ -22,8 +22,9 @@
 const OCCUPANCY_WEIGHT = 0.6;
 
 /**
- * Bounds of the length weight. The event interval is weighted by the item's expected length, because
- * a slow worker delays long items most; the weight is bounded because lengths are rough estimates.
+ * Bounds of the length weight. The event interval is weighted by the item's expected length,
+ * because a slow worker delays long items most; the weight is bounded because lengths are rough
+ * estimates.
  */
 const MIN_LENGTH_WEIGHT = 0.25;
 const MAX_LENGTH_WEIGHT = 4;
--- a/src/jobs/item-scorer.ts
+++ b/src/jobs/item-scorer.ts
@@ -1,8 +1,8 @@
 /**
  * Requests scores for items whose texts are complete. A score request is routed by its own host and
  * path and is idempotent: it is retried on another worker after a failure and hedged on a second
- * worker when it exceeds the service's latency estimate. Part of each worker's slots is reserved for
- * interactive requests.
+ * worker when it exceeds the service's latency estimate. Part of each worker's slots is reserved
+ * for interactive requests.
  */
 import type { Milliseconds } from '../core/units.js';
 import { type AllowedRegions, allowedByBoth } from '../placement/allowed-regions.js';
--- a/src/jobs/item-work-cache.ts
+++ b/src/jobs/item-work-cache.ts
@@ -1,7 +1,7 @@
 /**
  * Caches work on items whose job was cancelled before their group was completed. A trainer may
- * submit such a group again in a later job under the same ids; the cached work is then reused if its
- * weight versions fit.
+ * submit such a group again in a later job under the same ids; the cached work is then reused if
+ * its weight versions fit.
  */
 import { contentDigest } from '../core/hashing.js';
 import type { Milliseconds } from '../core/units.js';
--- a/src/jobs/job-admission.ts
+++ b/src/jobs/job-admission.ts
@@ -38,8 +38,9 @@
   }
 
   /**
-   * Response to a job that no eligible node accepts. The submission may repeat one that another node
-   * accepted earlier, so the response says that the job has not run only if it is certainly absent.
+   * Response to a job that no eligible node accepts. The submission may repeat one that another
+   * node accepted earlier, so the response says that the job has not run only if it is certainly
+   * absent.
    */
   private async reject(spec: JobSpecification, rejection: Failure): Promise<Failure | undefined> {
     const { store, reader, log, metrics } = this.options;
--- a/src/jobs/job-listing.ts
+++ b/src/jobs/job-listing.ts
@@ -79,7 +79,7 @@
   /** Whether the zone's journal has recorded the job's acceptance. */
   private isAcceptedByJournal = false;
   private queue: Promise<unknown> = Promise.resolve();
-  private isInTurn = false;
+  private isChanging = false;
 
   constructor(private readonly options: JobListingOptions) {
     const { spec, head, listed, journaled, store, clock } = options;
@@ -156,21 +156,21 @@
 
   /** Lists pending results or verifies the ownership, whichever is due. */
   advance(): void {
-    if (this.isInTurn || !this.canList) return;
+    if (this.isChanging || !this.canList) return;
     const sinceListing = this.options.clock.now() - this.lastListingAt;
     if (this.pending.length > 0 && sinceListing >= this.listingInterval()) {
-      void this.inTurn(() => this.list());
+      void this.runSerially(() => this.list());
     } else if (this.confirmationAge() >= VERIFY_INTERVAL) {
-      void this.inTurn(() => this.verify());
+      void this.runSerially(() => this.verify());
     }
   }
 
   /**
-   * Cancels the job; resolves with whether the cancellation is stored. It is queued behind a page that
-   * is being written, and proceeds even if the caller stops waiting.
+   * Cancels the job; resolves with whether the cancellation is stored. It is queued behind a page
+   * that is being written, and proceeds even if the caller stops waiting.
    */
   cancel(isStillNeeded: StillNeeded): Promise<boolean> {
-    const cancellation = this.inTurn(async () => {
+    const cancellation = this.runSerially(async () => {
       if (!this.canList) return false;
       if (this.isCancellationStored || this.isCancelledInStore) return true;
       this.isCancelling = true;
@@ -185,7 +185,7 @@
   /** Releases the job for another node, after earlier changes; `isStillNeeded` limits the wait. */
   async release(isStillNeeded: StillNeeded): Promise<void> {
     const { store, spec, progress, isOpen, close } = this.options;
-    const releasing = this.inTurn(async () => {
+    const releasing = this.runSerially(async () => {
       if (!isOpen()) return;
       while (this.pending.length > 0 && (await this.whileNeeded(this.list(), isStillNeeded)));
       const { head } = this.writer;
@@ -205,7 +205,7 @@
 
   /** Verifies the ownership of the job now. */
   verifyNow(): Promise<void> {
-    return this.inTurn(() => this.verify());
+    return this.runSerially(() => this.verify());
   }
 
   /** Whether the job is durably stored, so that results may be listed. */
@@ -217,13 +217,13 @@
     return this.writer.head?.head.ended ?? false;
   }
 
-  private inTurn<Value>(work: () => Promise<Value>): Promise<Value> {
+  private runSerially<Value>(work: () => Promise<Value>): Promise<Value> {
     const turn = this.queue.then(async () => {
-      this.isInTurn = true;
+      this.isChanging = true;
       try {
         return await work();
       } finally {
-        this.isInTurn = false;
+        this.isChanging = false;
       }
     });
     // A failed turn rejects only its own caller; the queue continues.
@@ -283,14 +283,15 @@
 
   private async verifyAtStore(startedAt: Milliseconds): Promise<void> {
     const { store, spec, close } = this.options;
-    const known = this.writer.head;
+    const knownHead = this.writer.head;
     const read = await store.head(spec.id);
-    if (read.kind === 'unavailable' || this.writer.head !== known || this.writer.isPending) return;
+    if (read.kind === 'unavailable' || this.writer.head !== knownHead || this.writer.isPending)
+      return;
     if (read.kind === 'absent') {
-      if (known !== undefined) close('superseded');
+      if (knownHead !== undefined) close('superseded');
       return;
     }
-    if (read.value.revision === known?.revision) this.confirmedAt = startedAt;
+    if (read.value.revision === knownHead?.revision) this.confirmedAt = startedAt;
     else this.handleHeadChange({ kind: 'superseded', current: read.value });
   }
 
--- a/src/jobs/job-peers.ts
+++ b/src/jobs/job-peers.ts
@@ -16,7 +16,9 @@
   readonly version: WeightVersion;
   /** Expected output tokens of all items. */
   readonly tokens: number;
-  /** The zone whose workers should run the job, or whose region's should, if zones run their own. */
+  /**
+   * The zone whose workers should run the job, or whose region's should, if zones run their own.
+   */
   readonly zone?: ZoneName;
 }
 
@@ -46,7 +48,9 @@
 export interface JobPeers {
   /** Work on items that other nodes have cached, by item id. */
   cachedWork(items: readonly string[]): Promise<ReadonlyMap<string, DigestedWork>>;
-  /** The owner's results from position `after` on; `undefined` if it does not answer for the job. */
+  /**
+   * The owner's results from position `after` on; `undefined` if it does not answer for the job.
+   */
   ownerListing(
     owner: JobOwner,
     job: string,
@@ -62,8 +66,8 @@
   /** An item's body from a likely owner; `undefined` if none of them owns the job. */
   bodyAtOwner(job: string, item: string): Promise<OwnerItemBody | undefined>;
   /**
-   * Forwards a job to the node that should run it or, if this node cannot reach the store, to a node
-   * that can.
+   * Forwards a job to the node that should run it or, if this node cannot reach the store, to a
+   * node that can.
    */
   submitElsewhere(spec: JobSpecification): Promise<SubmissionPath>;
   /**
@@ -76,6 +80,7 @@
     wait: Milliseconds,
     caller: CallerIdentity,
   ): Promise<ResultSlice | Failure | undefined>;
+  /** Cancels a job through a node that reaches the store; `undefined` as in `readElsewhere`. */
   cancelElsewhere(job: string, caller: CallerIdentity): Promise<ForwardedOutcome | undefined>;
   /** Offers a released job to other nodes in the allowed regions. */
   offerReleased(job: string, allowed?: AllowedRegions): Promise<void>;
--- a/src/jobs/job-reader.ts
+++ b/src/jobs/job-reader.ts
@@ -89,21 +89,21 @@
     if (usable !== undefined && (after < endOf(usable) || isComplete(usable))) {
       return { kind: 'found', value: usable };
     }
-    const opened = usable ?? this.openWithCachedOwner(job, after) ?? (await this.open(job, after));
-    if ('kind' in opened) return opened;
-    if (after < endOf(opened)) return { kind: 'found', value: opened };
-    if (await this.readFromOwner(job, opened, wait)) return { kind: 'found', value: opened };
-    return this.readFromStore(job, opened, after);
+    const loaded = usable ?? this.loadCachedOwner(job, after) ?? (await this.load(job, after));
+    if ('kind' in loaded) return loaded;
+    if (after < endOf(loaded)) return { kind: 'found', value: loaded };
+    if (await this.readFromOwner(job, loaded, wait)) return { kind: 'found', value: loaded };
+    return this.readFromStore(job, loaded, after);
   }
 
   /** Reads results from the store, unless a journal may have listed more. */
   private async readFromStore(
     job: string,
-    opened: CachedJob,
+    loaded: CachedJob,
     after: number,
   ): Promise<Read<ReadListing>> {
     // Page numbers are relative to the first position.
-    const fromStart = opened.offset === 0 ? opened : await this.openAtStore(job);
+    const fromStart = loaded.offset === 0 ? loaded : await this.loadFromStore(job);
     if ('kind' in fromStart) return fromStart;
     return this.readPages(job, fromStart, after);
   }
@@ -134,7 +134,7 @@
     return (await journals.entryStatus(job, head.replicas)) === 'not-held';
   }
 
-  /** Whether a job that the store does not have certainly does not exist. */
+  /** Whether a job that the store does not have is certain not to exist. */
   async isCertainlyAbsent(job: string): Promise<boolean> {
     const { journals } = this;
     if (journals === undefined) return true;
@@ -156,7 +156,7 @@
     return read;
   }
 
-  private openWithCachedOwner(job: string, after: number): CachedJob | undefined {
+  private loadCachedOwner(job: string, after: number): CachedJob | undefined {
     const cached = this.owners.get(job);
     return cached === undefined ? undefined : { ...cached, pages: 0, offset: after, results: [] };
   }
@@ -168,33 +168,33 @@
     else addBounded(this.owners, job, { tenant, total, owner }, MAX_CACHED_JOBS);
   }
 
-  private async open(job: string, after: number): Promise<CachedJob | Read<never>> {
-    return (await this.openAtOwner(job, after)) ?? this.openAtStore(job);
+  private async load(job: string, after: number): Promise<CachedJob | Read<never>> {
+    return (await this.loadFromOwner(job, after)) ?? this.loadFromStore(job);
   }
 
-  private async openAtOwner(job: string, after: number): Promise<CachedJob | undefined> {
+  private async loadFromOwner(job: string, after: number): Promise<CachedJob | undefined> {
     for (const owner of this.likelyOwners(job)) {
       const listing = await this.fetchOwnerListing(owner, job, after, 0);
       if (listing === undefined) continue;
       const { tenant, total, pages, results, allowedRegions } = listing;
-      const opened = { tenant, total, owner, pages, offset: after, results: [...results] };
+      const loaded = { tenant, total, owner, pages, offset: after, results: [...results] };
       // Without results, `after` is the caller's position and may exceed the listed results.
-      if (after === 0 || results.length > 0) this.cacheJob(job, opened, allowedRegions);
-      return opened;
+      if (after === 0 || results.length > 0) this.cacheJob(job, loaded, allowedRegions);
+      return loaded;
     }
     return undefined;
   }
 
-  private async openAtStore(job: string): Promise<CachedJob | Read<never>> {
+  private async loadFromStore(job: string): Promise<CachedJob | Read<never>> {
     const read = await this.store.head(job);
     if (read.kind === 'absent' && !(await this.isCertainlyAbsent(job)))
       return { kind: 'unavailable' };
     if (read.kind !== 'found') return read;
     const { tenant, total, owner, ended } = read.value.head;
     const currentOwner = ended ? null : owner;
-    const opened = { tenant, total, owner: currentOwner, pages: 0, offset: 0, results: [] };
-    this.cacheJob(job, opened, this.residency.regionsForOrigin(read.value.head));
-    return opened;
+    const loaded = { tenant, total, owner: currentOwner, pages: 0, offset: 0, results: [] };
+    this.cacheJob(job, loaded, this.residency.regionsForOrigin(read.value.head));
+    return loaded;
   }
 
   private async readFromOwner(
--- a/src/jobs/job-records.ts
+++ b/src/jobs/job-records.ts
@@ -1,7 +1,8 @@
 /**
  * Records of batch jobs in the shared store: specification, head, result pages and progress. Builds
- * of two formats may own a job in turn, so unknown fields are preserved, except in progress, which is
- * rewritten. Format 1 drops unknown fields from heads, so fields added to heads must be optional.
+ * of two formats may own a job in turn, so unknown fields are preserved, except in progress, which
+ * is rewritten. Format 1 drops unknown fields from heads, so fields added to heads must be
+ * optional.
  */
 import * as z from 'zod';
 import { openRecord } from '../core/open-record.js';
--- a/src/jobs/job-service.ts
+++ b/src/jobs/job-service.ts
@@ -78,8 +78,8 @@
   }
 
   /**
-   * Has a job accepted; `undefined` means that the job is durably stored. The node that is to run the
-   * job accepts it, which is usually another one.
+   * Has a job accepted; `undefined` means that the job is durably stored. The node that is to run
+   * the job accepts it, which is usually another one.
    */
   submit(spec: JobSpecification, isStillNeeded: StillNeeded): Promise<Failure | undefined> {
     return this.admission.submit(spec, isStillNeeded);
@@ -156,8 +156,8 @@
   }
 
   /**
-   * Reads for a node that does not reach the store. The results pass through this node, so it must be
-   * allowed to store the job.
+   * Reads for a node that does not reach the store. The results pass through this node, so it must
+   * be allowed to store the job.
    */
   async readForPeer(
     job: string,
@@ -233,8 +233,9 @@
   async takeOverFrom(job: string, owner: JobOwner, ownerAnswers: boolean): Promise<boolean> {
     const read = await this.options.store.head(job);
     if (read.kind !== 'found' || isFinished(read.value.head)) return false;
-    const { owner: current } = read.value.head;
-    const isStillOwner = current?.node === owner.node && current.incarnation === owner.incarnation;
+    const { owner: currentOwner } = read.value.head;
+    const isStillOwner =
+      currentOwner?.node === owner.node && currentOwner.incarnation === owner.incarnation;
     return isStillOwner && this.takeOver(job, read.value, ownerAnswers);
   }
 
--- a/src/jobs/job-store.ts
+++ b/src/jobs/job-store.ts
@@ -215,8 +215,8 @@
         return { kind: 'changed', current: { head, revision: outcome.revision } };
       }
       if (outcome.kind === 'conflict') {
-        const settled = await this.settle(job, head);
-        if (settled !== undefined) return settled;
+        const resolved = await this.resolveConflict(job, head);
+        if (resolved !== undefined) return resolved;
       }
       if (outcome.kind === 'failed' && outcome.effect === 'unknown') mayBeDone = true;
       if (!isStillNeeded()) return { kind: 'unavailable', mayBeDone };
@@ -225,7 +225,7 @@
   }
 
   /** After a conflict: whether an earlier attempt of the same change took effect. */
-  private async settle(job: string, written: JobHead): Promise<HeadChange | undefined> {
+  private async resolveConflict(job: string, written: JobHead): Promise<HeadChange | undefined> {
     const read = await this.head(job);
     if (read.kind === 'unavailable') return undefined;
     if (read.kind === 'absent') return { kind: 'superseded', current: undefined };
--- a/src/jobs/job-submissions.ts
+++ b/src/jobs/job-submissions.ts
@@ -62,7 +62,9 @@
   readonly journal: JobJournal | undefined;
   /** Whether the job follows a step that this node accepted, and so is in no other zone. */
   readonly isNextStep: boolean;
-  /** Whether it was submitted in a region that may not store it; several zones may get its steps. */
+  /**
+   * Whether it was submitted in a region that may not store it; several zones may get its steps.
+   */
   readonly isFromOutside: boolean;
 }
 
@@ -90,8 +92,9 @@
   }
 
   /**
-   * Accepts a job; `undefined` means that the job is durably stored. A job `isFromOutside` its allowed
-   * regions may be forwarded to any zone of these, so no zone accepts it by its journal alone.
+   * Accepts a job; `undefined` means that the job is durably stored. A job `isFromOutside` its
+   * allowed regions may be forwarded to any zone of these, so no zone accepts it by its journal
+   * alone.
    */
   async submit(
     spec: JobSpecification,
@@ -104,12 +107,12 @@
     if (earlier !== undefined) return tenantConflict(spec, earlier.tenant) ?? earlier.outcome;
     const { residency } = this.options;
     if (!residency.mayHoldHere(residency.regionsForSpec(spec))) return REGION_DENIED;
-    const submission = this.store(spec, isStillNeeded, isFromOutside);
+    const submission = this.claimAndCreate(spec, isStillNeeded, isFromOutside);
     this.pending.set(spec.id, { tenant: spec.tenant, outcome: submission });
     return submission.finally(() => this.pending.delete(spec.id));
   }
 
-  private async store(
+  private async claimAndCreate(
     spec: JobSpecification,
     isStillNeeded: StillNeeded,
     isFromOutside: boolean,
@@ -172,9 +175,9 @@
   }
 
   /**
-   * Claims the zone's journal of a new job, so that no other node of the zone can accept the same job
-   * without the store. A claim without entries whose writer has terminated is taken over, because that
-   * writer confirmed the job to nobody; a live writer may still accept it.
+   * Claims the zone's journal of a new job, so that no other node of the zone can accept the same
+   * job without the store. A claim without entries whose writer has terminated is taken over,
+   * because that writer confirmed the job to nobody; a live writer may still accept it.
    */
   private async openJournal(job: string): Promise<JobJournal | 'held-elsewhere' | undefined> {
     const { journals, isWriterLive = () => true } = this.options;
--- a/src/jobs/job-transfer.ts
+++ b/src/jobs/job-transfer.ts
@@ -105,8 +105,8 @@
   }
 
   /**
-   * Fences the previous owner off from the job's journal and reads its entries. If no replica answers,
-   * because its zone is unreachable, the previous owner keeps the job.
+   * Fences the previous owner off from the job's journal and reads its entries. If no replica
+   * answers, because its zone is unreachable, the previous owner keeps the job.
    */
   private async claimJournal(
     job: string,
--- a/src/jobs/journal-recovery.ts
+++ b/src/jobs/journal-recovery.ts
@@ -1,7 +1,7 @@
 /**
  * Recovers journal entries whose owner has terminated: jobs that were accepted while the store was
- * unreachable, and results of jobs that were cancelled in the store before it had them. Open jobs in
- * the store are taken over through their heads instead.
+ * unreachable, and results of jobs that were cancelled in the store before it had them. Open jobs
+ * in the store are taken over through their heads instead.
  */
 import type { Milliseconds } from '../core/units.js';
 import type { JobJournal } from '../journal/job-journal.js';
--- a/src/jobs/listing-writer.ts
+++ b/src/jobs/listing-writer.ts
@@ -1,10 +1,10 @@
 /**
  * Writes the changes of a job (result pages and cancellation) in order: to the shared store and,
- * while that does not answer, also to the zone's journal. A change is durable once either has it, and
- * is identical in both.
+ * while that does not answer, also to the zone's journal. A change is durable once either has it,
+ * and is identical in both.
  *
- * A commit that the store does not answer is retried until it is settled; later changes queue behind
- * it and are batched into the next commit.
+ * A commit that the store does not answer is retried until it is settled; later changes queue
+ * behind it and are batched into the next commit.
  */
 
 import type { Milliseconds } from '../core/units.js';
--- a/src/jobs/placement-round.ts
+++ b/src/jobs/placement-round.ts
@@ -20,7 +20,7 @@
 /** One batch of placements. */
 export class PlacementRound {
   private readonly median: Milliseconds;
-  private free: readonly KnownWorker[];
+  private freeWorkers: readonly KnownWorker[];
   /** Start of the next search; random at first, so that owners start at different workers. */
   private cursor: number;
   /** Requirements that no worker meets; workers only become fuller within a round. */
@@ -37,9 +37,9 @@
     private readonly rules: SendRules = new SendRules(),
   ) {
     this.median = medianEventInterval(workers);
-    this.free = workers.filter((worker) => worker.hasFreeSlot(now));
-    const isLarge = this.free.length > MAX_COMPARED;
-    this.cursor = isLarge ? Math.floor(Math.random() * this.free.length) : 0;
+    this.freeWorkers = workers.filter((worker) => worker.hasFreeSlot(now));
+    const isLarge = this.freeWorkers.length > MAX_COMPARED;
+    this.cursor = isLarge ? Math.floor(Math.random() * this.freeWorkers.length) : 0;
   }
 
   /** The best worker for an item, or `undefined` if none can run it. */
@@ -74,21 +74,22 @@
   }
 
   private candidates(needs: ItemNeeds, sharedPromptWorker: string | undefined): KnownWorker[] {
-    if (this.free.length <= MAX_COMPARED) {
-      return this.free.filter((worker) => this.isEligible(worker, needs));
+    if (this.freeWorkers.length <= MAX_COMPARED) {
+      return this.freeWorkers.filter((worker) => this.isEligible(worker, needs));
     }
     const found: KnownWorker[] = [];
     let skipped = 0;
-    const { free, cursor } = this;
-    for (let step = 0; step < free.length && found.length < MAX_COMPARED; step += 1) {
-      const worker = free[(cursor + step) % free.length];
+    const { freeWorkers, cursor } = this;
+    for (let step = 0; step < freeWorkers.length && found.length < MAX_COMPARED; step += 1) {
+      const worker = freeWorkers[(cursor + step) % freeWorkers.length];
       if (worker !== undefined && this.isEligible(worker, needs)) found.push(worker);
       else skipped += 1;
     }
-    const shared = free.find((worker) => worker.record.id === sharedPromptWorker);
+    const shared = freeWorkers.find((worker) => worker.record.id === sharedPromptWorker);
     if (shared !== undefined && this.isEligible(shared, needs)) found.push(shared);
-    this.cursor = (cursor + found.length) % free.length;
-    if (skipped > MAX_SKIPPED) this.free = free.filter((worker) => worker.hasFreeSlot(this.now));
+    this.cursor = (cursor + found.length) % freeWorkers.length;
+    if (skipped > MAX_SKIPPED)
+      this.freeWorkers = freeWorkers.filter((worker) => worker.hasFreeSlot(this.now));
     return found;
   }
 }
--- a/test/jobs/blocked-listing.test.ts
+++ b/test/jobs/blocked-listing.test.ts
@@ -1,6 +1,6 @@
 /**
- * Guards against cancellations and releases that wait without limit behind a page of results that the
- * store does not accept.
+ * Guards against cancellations and releases that wait without limit behind a page of results that
+ * the store does not accept.
  */
 import { setTimeout } from 'node:timers/promises';
 import t from 'tap';
--- a/test/jobs/journaled-jobs.test.ts
+++ b/test/jobs/journaled-jobs.test.ts
@@ -81,8 +81,8 @@
 t.test(
   'a zone without the store continues a step, and accepts and cancels the next one',
   async (t) => {
-    const place = await zoneWithStore(t, stream('ab'), stream('cd'), stream('ef'));
-    const { emulator, zone, node } = place;
+    const setup = await zoneWithStore(t, stream('ab'), stream('cd'), stream('ef'));
+    const { emulator, zone, node } = setup;
     t.equal(await node.service.submit(specification('job', 2), always), undefined);
     emulator.setAvailability('silent');
     await untilListed(node, 2);
@@ -97,16 +97,16 @@
 
     emulator.setAvailability('up');
     await eventually(() => node.service.ownedJobs().every((job) => !job.isActive));
-    t.same(await textsAt(otherNode(place, 'zone-2')), listed, 'the store has the same results');
-    t.same(await textsAt(otherNode(place, 'zone-2'), 'next'), ['e\nf']);
+    t.same(await textsAt(otherNode(setup, 'zone-2')), listed, 'the store has the same results');
+    t.same(await textsAt(otherNode(setup, 'zone-2'), 'next'), ['e\nf']);
     await eventually(() => zone.asked.some(({ kind }) => kind === 'journal-release'));
     await untilHeld(zone, 0);
   },
 );
 
 t.test('nodes in other zones do not take over a job from an unreachable zone', async (t) => {
-  const place = await zoneWithStore(t, stream('ab'));
-  const { emulator, zone, node } = place;
+  const setup = await zoneWithStore(t, stream('ab'));
+  const { emulator, zone, node } = setup;
   await node.service.submit(specification('job', 2), always);
   emulator.setAvailability('silent');
   await untilListed(node, 1);
@@ -116,13 +116,13 @@
   const read = await store.head('job');
   if (read.kind !== 'found') throw new Error(read.kind);
   for (const address of zone.addresses) zone.unreachable.add(address);
-  const outside = otherNode(place, 'zone-2');
+  const outside = otherNode(setup, 'zone-2');
   t.equal(await outside.service.takeOver('job', read.value), false);
 });
 
 t.test('a new owner continues the listing after the journaled results', async (t) => {
-  const place = await zoneWithStore(t, stream('ab'), stream('cd'));
-  const { emulator, node } = place;
+  const setup = await zoneWithStore(t, stream('ab'), stream('cd'));
+  const { emulator, node } = setup;
   await node.service.submit(specification('job', 3), always);
   const store = new JobStore(emulator, new ManualClock());
   const before = await store.head('job');
@@ -133,7 +133,7 @@
   const replicas = before.value.head.replicas ?? [];
   t.equal(replicas.length, 3);
   // The owner terminates with commits in progress: only the journal has the results.
-  const next = otherNode({ ...place, emulator: await emulatorWith(emulator, 'job') });
+  const next = otherNode({ ...setup, emulator: await emulatorWith(emulator, 'job') });
   t.equal(await next.service.takeOver('job', before.value), true);
   t.same(await textsAt(next), listed);
   t.equal(next.service.ownedJobs()[0]?.pages, node.service.ownedJobs()[0]?.pages);
@@ -159,15 +159,15 @@
 const NEXT = { ...specification('next', 2), step: 1 };
 
 t.test('a job that only the journal has is recovered after its owner has terminated', async (t) => {
-  const place = await zoneWithStore(t, stream('ab'), stream('cd'), stream('ef'));
-  const { emulator, node } = place;
+  const setup = await zoneWithStore(t, stream('ab'), stream('cd'), stream('ef'));
+  const { emulator, node } = setup;
   t.equal(await node.service.submit(specification('job', 2), always), undefined);
   await untilListed(node, 2);
   emulator.setAvailability('refusing');
   t.equal(await node.service.submit(NEXT, always), undefined);
   await workUntil(node, () => node.service.ownedJobs()[1]?.results.length === 1);
   const listed = await textsAt(node, 'next');
-  const next = otherNode({ ...place, emulator: new SharedStoreEmulator() });
+  const next = otherNode({ ...setup, emulator: new SharedStoreEmulator() });
   t.equal(await textsAt(next, 'next'), 'ledger_unavailable', 'the job is not reported as absent');
   await workUntil(next, () => next.lines.some((line) => line.includes('"job-recovered"')));
   t.same(await textsAt(next, 'next'), listed);
@@ -175,8 +175,8 @@
 
 /** Guards against two zones accepting the same job, each by its own journal. */
 t.test('a zone without the store accepts only the next step of its own trainer', async (t) => {
-  const place = await zoneWithStore(t);
-  const { emulator, node } = place;
+  const setup = await zoneWithStore(t);
+  const { emulator, node } = setup;
   emulator.setAvailability('refusing');
   const rejection = await node.service.submit(specification('job', 1), never);
   t.notSame(rejection, undefined);
@@ -186,8 +186,8 @@
 t.test(
   'a job that another zone accepted by its journal is not created again in the store',
   async (t) => {
-    const place = await zoneWithStore(t, stream('ab'), stream('cd'));
-    const { emulator, node, zone } = place;
+    const setup = await zoneWithStore(t, stream('ab'), stream('cd'));
+    const { emulator, node, zone } = setup;
     await node.service.submit(specification('job', 2), always);
     await untilListed(node, 2);
     // The store rejects only this node.
@@ -196,7 +196,7 @@
     t.equal(await node.service.submit(NEXT, always), undefined);
     emulator.commit = commit;
     const reachableStore = new SharedStoreEmulator();
-    const outside = otherNode({ ...place, emulator: reachableStore }, 'zone-2');
+    const outside = otherNode({ ...setup, emulator: reachableStore }, 'zone-2');
     t.equal((await outside.service.submit(NEXT, always))?.kind, 'outcome_unknown');
     for (const address of zone.addresses) zone.unreachable.add(address);
     t.equal((await outside.service.submit(NEXT, always))?.kind, 'outcome_unknown');
@@ -209,8 +209,8 @@
  * the owner's zone is partitioned.
  */
 t.test('journaled results reach the store although another node cancelled the job', async (t) => {
-  const place = await zoneWithStore(t, stream('ab'), stream('cd'));
-  const { emulator, node, zone } = place;
+  const setup = await zoneWithStore(t, stream('ab'), stream('cd'));
+  const { emulator, node, zone } = setup;
   await node.service.submit(specification('job', 3), always);
   const commit = emulator.commit.bind(emulator);
   emulator.commit = async () => ({ kind: 'failed', effect: 'not-done' });
@@ -220,17 +220,17 @@
   const store = new JobStore(emulator, new ManualClock());
   const head = await store.head('job');
   if (head.kind !== 'found') throw new Error(head.kind);
-  const outside = otherNode(place, 'zone-2');
+  const outside = otherNode(setup, 'zone-2');
   t.equal(await textsAt(outside), 'ledger_unavailable');
   await store.replace('job', head.value, { ended: true }, always);
   await eventually(() => node.service.ownedJobs().every((job) => !job.isActive));
-  t.same(await textsAt(otherNode(place, 'zone-2')), listed);
+  t.same(await textsAt(otherNode(setup, 'zone-2')), listed);
   await untilHeld(zone, 0);
 });
 
 t.test('journaled results of a terminated owner are stored by another node', async (t) => {
-  const place = await zoneWithStore(t, stream('ab'), stream('cd'));
-  const { emulator, node, zone } = place;
+  const setup = await zoneWithStore(t, stream('ab'), stream('cd'));
+  const { emulator, node, zone } = setup;
   await node.service.submit(specification('job', 3), always);
   const before = await new JobStore(emulator, new ManualClock()).head('job');
   if (before.kind !== 'found') throw new Error(before.kind);
@@ -240,7 +240,7 @@
   const copy = await emulatorWith(emulator, 'job');
   const store = new JobStore(copy, new ManualClock());
   await store.replace('job', before.value, { ended: true }, always);
-  const next = otherNode({ ...place, emulator: copy });
+  const next = otherNode({ ...setup, emulator: copy });
   t.equal(await textsAt(next), 'ledger_unavailable');
   const isDone = (): boolean => next.lines.some((line) => line.includes('"job-listing-completed"'));
   await workUntil(next, isDone);
@@ -251,10 +251,10 @@
 t.test(
   'a node reports that results or jobs may be missing while a zone is unreachable',
   async (t) => {
-    const place = await zoneWithStore(t, stream('ab'));
-    const { emulator, zone, node } = place;
+    const setup = await zoneWithStore(t, stream('ab'));
+    const { emulator, zone, node } = setup;
     await node.service.submit(specification('job', 2), always);
-    const outside = otherNode(place, 'zone-2');
+    const outside = otherNode(setup, 'zone-2');
     t.same(await textsAt(outside), [], 'the replicas confirm that nothing is listed');
     t.equal(await textsAt(outside, 'unheard-of'), 'not_found');
     for (const address of zone.addresses) zone.unreachable.add(address);
@@ -274,29 +274,29 @@
 );
 
 t.test('a job that another node of the zone has claimed is not accepted twice', async (t) => {
-  const place = await zoneWithStore(t);
-  const { emulator, node } = place;
+  const setup = await zoneWithStore(t);
+  const { emulator, node } = setup;
   await node.service.submit(specification('job', 1), always);
   emulator.setAvailability('refusing');
   t.equal(await node.service.submit(NEXT, always), undefined);
-  const rejection = await otherNode(place).service.submit(NEXT, always);
+  const rejection = await otherNode(setup).service.submit(NEXT, always);
   t.equal(rejection?.kind, 'outcome_unknown');
 });
 
 /**
- * Guards against submissions that stay rejected because a node claimed the job and terminated before
- * it was stored.
+ * Guards against submissions that stay rejected because a node claimed the job and terminated
+ * before it was stored.
  */
 t.test(
   'a job that a terminated node has claimed and not stored is accepted by another node',
   async (t) => {
-    const place = await zoneWithStore(t);
-    const { emulator, node } = place;
+    const setup = await zoneWithStore(t);
+    const { emulator, node } = setup;
     emulator.setAvailability('refusing');
     const rejection = await node.service.submit(specification('job', 1), never);
     t.notSame(rejection, undefined);
     const reachableStore = new SharedStoreEmulator();
-    const next = otherNode({ ...place, emulator: reachableStore });
+    const next = otherNode({ ...setup, emulator: reachableStore });
     t.equal(await next.service.submit(specification('job', 1), always), undefined);
     const head = await new JobStore(reachableStore, new ManualClock()).head('job');
     t.equal(head.kind === 'found' && head.value.head.term, 2);
@@ -304,12 +304,12 @@
 );
 
 /**
- * Guards against two nodes of a zone accepting the same job: one that waits for the answers of other
- * zones, and one that claims the job under the next term and accepts it by the journal.
+ * Guards against two nodes of a zone accepting the same job: one that waits for the answers of
+ * other zones, and one that claims the job under the next term and accepts it by the journal.
  */
 t.test('a job that a live node has claimed is not claimed by another', async (t) => {
-  const place = await zoneWithStore(t);
-  const { emulator, zone } = place;
+  const setup = await zoneWithStore(t);
+  const { emulator, zone } = setup;
   emulator.setAvailability('refusing');
   const first = zone.journals(WRITER).openNew('job');
   t.equal((await first?.claim())?.kind, 'claimed');
@@ -333,8 +333,8 @@
 t.test(
   'a node that lost its claim while it queried the other zones does not accept the job',
   async (t) => {
-    const place = await zoneWithStore(t);
-    const { emulator, zone, node } = place;
+    const setup = await zoneWithStore(t);
+    const { emulator, zone, node } = setup;
     const far: ReplicaLocation = {
       node: 'far',
       zone: 'zone-2',
@@ -358,8 +358,8 @@
 t.test(
   'a job that the store creates after its node lost the claim is released to others',
   async (t) => {
-    const place = await zoneWithStore(t);
-    const { emulator, zone, node } = place;
+    const setup = await zoneWithStore(t);
+    const { emulator, zone, node } = setup;
     const commit = emulator.commit.bind(emulator);
     emulator.commit = async (...parts) => {
       emulator.commit = commit;
@@ -378,9 +378,9 @@
 );
 
 t.test('zones that do not answer are queried again until a timeout', async (t) => {
-  const place = await zoneWithStore(t);
-  const { zone } = place;
-  const outside = otherNode(place, 'zone-2');
+  const setup = await zoneWithStore(t);
+  const { zone } = setup;
+  const outside = otherNode(setup, 'zone-2');
   for (const address of zone.addresses) zone.unreachable.add(address);
   setTimeout(() => zone.unreachable.clear(), 300);
   t.equal(await outside.service.submit(specification('job', 1), always), undefined);
--- a/test/jobs/placement-round.test.ts
+++ b/test/jobs/placement-round.test.ts
@@ -1,6 +1,6 @@
 /**
- * Guards against placement that compares every waiting item with every worker of a large fleet, which
- * blocks the owners of jobs.
+ * Guards against placement that compares every waiting item with every worker of a large fleet,
+ * which blocks the owners of jobs.
  */
 import t from 'tap';
 import type { ItemNeeds } from '../../src/jobs/item-placement.js';
--- a/test/jobs/status-requests.test.ts
+++ b/test/jobs/status-requests.test.ts
@@ -1,6 +1,6 @@
 /**
- * Status requests of clients to any gateway during faults: reads, bodies, repeated cancellations and
- * repeated submissions are answered correctly or as unavailable, and soon afterwards correctly.
+ * Status requests of clients to any gateway during faults: reads, bodies, repeated cancellations
+ * and repeated submissions are answered correctly or as unavailable, and soon afterwards correctly.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 import t from 'tap';
