--- a/src/fleet/coordination.ts
+++ b/src/fleet/coordination.ts
@@ -82,7 +82,7 @@
       ...{ clock, lock, settings: node.singletonTasks },
       services: () => configuration.services,
       liveNodes: () => fleet.liveNodes().length,
-      tell: (...usage) => options.peers.reportUsage(...usage),
+      sendCounts: (...usage) => options.peers.reportUsage(...usage),
       isFirstStart: node.isFirstStart ?? false,
     });
   }
--- a/src/fleet/fleet-peers.ts
+++ b/src/fleet/fleet-peers.ts
@@ -90,7 +90,7 @@
   constructor(private readonly options: FleetPeersOptions) {
     this.residency = options.residency ?? UNRESTRICTED_RESIDENCY;
     this.requester = new PeerRequester(options);
-    this.submissions = new SubmissionRouter({ ...options, calls: this.requester });
+    this.submissions = new SubmissionRouter({ ...options, requester: this.requester });
   }
 
   async cachedWork(items: readonly string[]): Promise<ReadonlyMap<string, DigestedWork>> {
--- a/src/fleet/gateway-node.ts
+++ b/src/fleet/gateway-node.ts
@@ -180,7 +180,7 @@
       jobs: () => this.jobs,
       relay: () => relay,
       onWorkerCrashed: (report) => this.quarantine.applyReport(report, clock.now()),
-      permits: (requests) => this.workerGate.answerPermitRequests(requests),
+      decidePermits: (requests) => this.workerGate.answerPermitRequests(requests),
       onUsageReported: (source, counts) =>
         this.coordination.singletonTasks?.applyUsage(source, counts),
     });
--- a/src/fleet/peer-request-handler.ts
+++ b/src/fleet/peer-request-handler.ts
@@ -42,7 +42,7 @@
   /**
    * Called on the coordinator: decides on permits to use cold workers that another node requests.
    */
-  readonly permits: (requests: readonly PermitRequest[]) => PermitAnswer;
+  readonly decidePermits: (requests: readonly PermitRequest[]) => PermitAnswer;
   /** Whether this zone accepts jobs while the store is unreachable. */
   readonly acceptsJobsWithoutStore: () => boolean;
 }
@@ -98,7 +98,7 @@
         this.options.onWeightChanged(request.change);
         return { isNoted: true };
       case 'cold-permits':
-        return this.options.permits(request.wishes);
+        return this.options.decidePermits(request.wishes);
       case 'need-weights':
         onWeightsNeeded(request.need);
         return { isNoted: true };
--- a/src/fleet/singleton-tasks.ts
+++ b/src/fleet/singleton-tasks.ts
@@ -54,7 +54,11 @@
   readonly isEvacuated: (zone: ZoneName) => boolean;
   readonly liveNodes: () => number;
   /** Sends this node's usage counts to the coordinator; resolves to whether it accepted them. */
-  readonly tell: (holder: NodeId, source: UsageSource, counts: WindowCounts) => Promise<boolean>;
+  readonly sendCounts: (
+    holder: NodeId,
+    source: UsageSource,
+    counts: WindowCounts,
+  ) => Promise<boolean>;
   readonly isFirstStart: boolean;
   readonly clock: Clock;
   readonly log: DecisionLog;
--- a/src/fleet/submission-router.ts
+++ b/src/fleet/submission-router.ts
@@ -41,7 +41,7 @@
 const MAX_CROSS_REGION_OFFERS = 2;
 
 export interface SubmissionRouterOptions {
-  readonly calls: PeerRequester;
+  readonly requester: PeerRequester;
   readonly fleet: FleetRegistry;
   readonly placement: JobPlacement;
   readonly self: JobOwner;
@@ -106,9 +106,9 @@
    * being able to answer.
    */
   private async responsiveNodes(nodes: readonly NodeId[]): Promise<NodeId[]> {
-    const { calls, placement } = this.options;
+    const { requester, placement } = this.options;
     const first = nodes.slice(0, MAX_PROBED_NODES);
-    const areLive = await Promise.all(first.map((node) => calls.isAlive(node)));
+    const areLive = await Promise.all(first.map((node) => requester.isAlive(node)));
     const unresponsive = first.filter((_, index) => areLive[index] !== true);
     for (const node of unresponsive) placement.noteUnresponsive(node);
     return first.filter((_, index) => areLive[index] === true).slice(0, MAX_CROSS_REGION_OFFERS);
@@ -122,13 +122,13 @@
     node: NodeId,
     request: PeerRequestOf<'submit-for'>,
   ): Promise<PeerOutcome<'submit-for'> | undefined> {
-    const { calls, clock, fleet } = this.options;
-    const answer = calls.request<'submit-for'>(node, request, request.limit + ANSWER_MARGIN);
+    const { requester, clock, fleet } = this.options;
+    const answer = requester.request<'submit-for'>(node, request, request.limit + ANSWER_MARGIN);
     for (;;) {
       const pause = clock.sleep(OFFER_CHECK_INTERVAL).then(() => 'pending' as const);
       const outcome = await Promise.race([answer, pause]);
       if (outcome !== 'pending') return outcome;
-      const canReachStore = await calls.canReachStore(node);
+      const canReachStore = await requester.canReachStore(node);
       if (!canReachStore && !fleet.isStoreUnreachable) return { kind: 'silent' };
     }
   }
@@ -139,14 +139,14 @@
     mayRunElsewhere: boolean,
     deadline: Milliseconds,
   ): Promise<SubmissionPath> {
-    const { calls, clock, placement } = this.options;
+    const { requester, clock, placement } = this.options;
     const mayHold = this.residency.holderFilter(this.residency.regionsForSpec(spec));
     const where = placement.isByZone ? 'own-zone' : 'anywhere';
-    const node = await calls.findNodeReachingStore(where, mayHold);
+    const node = await requester.findNodeReachingStore(where, mayHold);
     if (node === undefined) return { kind: 'here', mayRunElsewhere };
     const limit = Math.max(MIN_OFFER_TIME, deadline - clock.now());
     const request = { kind: 'submit-for', spec, limit } as const;
-    const outcome = await calls.request<'submit-for'>(node, request, limit + ANSWER_MARGIN);
+    const outcome = await requester.request<'submit-for'>(node, request, limit + ANSWER_MARGIN);
     if (outcome?.kind === 'silent') return { kind: 'answered', failure: MAY_BE_STORED };
     if (outcome?.kind !== 'answered') return { kind: 'here', mayRunElsewhere };
     const { failure: rejection } = outcome.answer;
--- a/src/singleton-tasks/usage-sender.ts
+++ b/src/singleton-tasks/usage-sender.ts
@@ -40,7 +40,11 @@
   readonly taskHolder: () => SingletonTaskHolder;
   readonly liveNodes: () => number;
   /** Sends counts to another node; resolves with whether that node accepted them. */
-  readonly tell: (holder: NodeId, source: UsageSource, counts: WindowCounts) => Promise<boolean>;
+  readonly sendCounts: (
+    holder: NodeId,
+    source: UsageSource,
+    counts: WindowCounts,
+  ) => Promise<boolean>;
   readonly clock: Clock;
   readonly log: DecisionLog;
 }
@@ -86,14 +90,15 @@
   }
 
   private async sendToHolder(): Promise<boolean> {
-    const { meter, gathered, source, node, taskHolder, tell } = this.options;
+    const { meter, gathered, source, node, taskHolder, sendCounts } = this.options;
     const { holder, term } = taskHolder();
     const { revision } = meter;
     if (holder === undefined) return false;
     this.isSending = true;
     const counts = meter.totals();
     if (holder === node) gathered.merge(source, counts);
-    const isAccepted = holder === node || counts.size === 0 || (await tell(holder, source, counts));
+    const isAccepted =
+      holder === node || counts.size === 0 || (await sendCounts(holder, source, counts));
     this.isSending = false;
     if (isAccepted) this.lastSent = { revision, term };
     return isAccepted;
--- a/test/fleet/fleet-fixtures.ts
+++ b/test/fleet/fleet-fixtures.ts
@@ -12,27 +12,27 @@
 export class StubPeers implements PeerPort {
   readonly alive = new Set<string>();
   /** Addresses whose nodes do not reach the store. */
-  readonly cutOff = new Set<string>();
+  readonly withoutStore = new Set<string>();
   /** Addresses whose nodes do not need a short lease. */
   readonly idle = new Set<string>();
   /** The work that the previous owner of a job releases. */
   readonly releasedWork = new Map<string, DigestedWork>();
   /** Addresses at which another incarnation answers. */
-  readonly otherLives = new Set<string>();
-  readonly asked: { readonly address: string; readonly request: PeerRequest }[] = [];
+  readonly otherIncarnations = new Set<string>();
+  readonly requests: { readonly address: string; readonly request: PeerRequest }[] = [];
 
   async request<Kind extends PeerRequest['kind']>(
     address: string,
     request: PeerRequest,
   ): Promise<PeerOutcome<Kind>> {
-    this.asked.push({ address, request });
+    this.requests.push({ address, request });
     const isAlive = this.alive.has(address);
-    if (!isAlive && !this.otherLives.has(address)) return { kind: 'refused' };
+    if (!isAlive && !this.otherIncarnations.has(address)) return { kind: 'refused' };
     if (request.kind === 'surrender-job') {
       const answer: PeerAnswers['surrender-job'] = { work: this.releasedWork };
       return { kind: 'answered', answer: answer as PeerAnswers[Kind] };
     }
-    const reachesStore = !this.cutOff.has(address);
+    const reachesStore = !this.withoutStore.has(address);
     const hasDuties = !this.idle.has(address);
     return { kind: 'answered', answer: { isAlive, reachesStore, hasDuties } } as PeerOutcome<Kind>;
   }
--- a/test/fleet/fleet-peers.test.ts
+++ b/test/fleet/fleet-peers.test.ts
@@ -72,7 +72,7 @@
     jobs: () => JOBS as unknown as JobService,
     relay: unused,
     onUsageReported: () => t.fail('unexpected usage report'),
-    permits: unused,
+    decidePermits: unused,
     onWorkerCrashed: unused,
   });
   return { peers, handler, sent, owners: placement.ownersOf(jobId) };
--- a/test/fleet/job-takeover.test.ts
+++ b/test/fleet/job-takeover.test.ts
@@ -83,7 +83,7 @@
   const fixture = await startBesideOwner();
   fixture.peers.alive.add(OTHER_ADDRESS);
   fixture.emulator.erase('fleet/node/node-2');
-  await eventually(() => fixture.peers.asked.length >= 2);
+  await eventually(() => fixture.peers.requests.length >= 2);
   t.notOk(runsJob(fixture));
   await fixture.stop();
 });
@@ -117,7 +117,7 @@
   'a replaced incarnation of the owner loses its job though its address answers',
   async (t) => {
     const fixture = await startBesideOwner();
-    fixture.peers.otherLives.add(OTHER_ADDRESS);
+    fixture.peers.otherIncarnations.add(OTHER_ADDRESS);
     const replaced = { ...JSON.parse(OTHER_RECORD), incarnation: 'life-3' };
     fixture.emulator.write('fleet/node/node-2', JSON.stringify(replaced));
     await eventually(() => runsJob(fixture));
@@ -136,8 +136,8 @@
     const store = new JobStore(fixture.emulator, PROCESS_CLOCK);
     await store.create(spec, headOf(spec, owner), always);
     fixture.takeover.scheduleScan();
-    await eventually(() => fixture.peers.asked.some(({ address }) => address === '127.0.0.1:9'));
-    await eventually(() => fixture.peers.asked.length >= 2);
+    await eventually(() => fixture.peers.requests.some(({ address }) => address === '127.0.0.1:9'));
+    await eventually(() => fixture.peers.requests.length >= 2);
     t.notOk(fixture.service.ownedJobs().some((job) => job.spec.id === 'unseen'));
     await fixture.stop();
   },
@@ -205,7 +205,7 @@
 t.test('an owner that answers but cannot reach the store loses its job', async (t) => {
   const fixture = await startBesideOwner();
   fixture.peers.alive.add(OTHER_ADDRESS);
-  fixture.peers.cutOff.add(OTHER_ADDRESS);
+  fixture.peers.withoutStore.add(OTHER_ADDRESS);
   fixture.emulator.erase('fleet/node/node-2');
   await eventually(() => runsJob(fixture));
   t.same(fixture.service.ownedJobs()[0]?.results, [result(0)]);
--- a/test/fleet/jobs-in-regions.test.ts
+++ b/test/fleet/jobs-in-regions.test.ts
@@ -110,14 +110,14 @@
   'while regions are partitioned, a gateway outside rejects jobs that are not stored',
   async (t) => {
     const fleet = await fleetWith(LIMITED_TO_SOUTH);
-    fleet.areRegionsApart = true;
+    fleet.areRegionsPartitioned = true;
     const refusal = await fleet.named('n-1').node.submit(jobOn('pinned', 'job'), always);
     t.match(refusal, { kind: 'region_unavailable' }, 'it was sent to no node');
     t.same(fleet.deliveries, []);
     t.same(fleet.runnersOf('job'), []);
-    fleet.areRegionsApart = false;
+    fleet.areRegionsPartitioned = false;
     t.equal(await fleet.named('s-1').node.submit(jobOn('pinned', 'job'), always), undefined);
-    fleet.areRegionsApart = true;
+    fleet.areRegionsPartitioned = true;
     t.equal(
       await fleet.named('n-2').node.submit(jobOn('pinned', 'job'), always),
       undefined,
@@ -136,7 +136,7 @@
     const [owner = ''] = fleet.runnersOf('job');
     t.ok(SOUTHERN.includes(owner), owner);
     for (const name of SOUTHERN) fleet.store.erase(`fleet/node/${name}`);
-    fleet.areRegionsApart = true;
+    fleet.areRegionsPartitioned = true;
     // Longer than the delays of all nodes that scan for the jobs of a lost owner.
     await PROCESS_CLOCK.sleep(3_500);
     t.notOk(fleet.runnersOf('job').some((name) => name.startsWith('n')));
@@ -235,7 +235,7 @@
   await fleet.named('s-1').node.submit(jobOn('free', 'job'), always);
   const [owner = ''] = fleet.runnersOf('job');
   t.ok(SOUTHERN.includes(owner), owner);
-  fleet.areRegionsApart = true;
+  fleet.areRegionsPartitioned = true;
   for (const name of SOUTHERN) fleet.store.erase(`fleet/node/${name}`);
   await eventually(() => fleet.runnersOf('job').some((name) => name.startsWith('n')));
   t.pass('only its limit keeps a limited job back');
--- a/test/fleet/peer-monitor.test.ts
+++ b/test/fleet/peer-monitor.test.ts
@@ -32,12 +32,12 @@
 t.test('a node without the store is suspected until it reaches the store again', async (t) => {
   const { monitor, peers, suspicions } = monitorFixture();
   peers.alive.add(OTHER.address);
-  peers.cutOff.add(OTHER.address);
+  peers.withoutStore.add(OTHER.address);
   await eventually(() => suspicions.length === 1);
   t.match(suspicions[0], { owner: OTHER, ownerAnswers: true });
-  t.ok(peers.asked.length >= 3, 'not after the first answer');
+  t.ok(peers.requests.length >= 3, 'not after the first answer');
   t.ok(monitor.isSuspected(OTHER));
-  peers.cutOff.clear();
+  peers.withoutStore.clear();
   await eventually(() => !monitor.isSuspected(OTHER));
   monitor.stop();
 });
@@ -45,8 +45,8 @@
 t.test('no node is suspected for an outage of the store that this node saw too', async (t) => {
   const { monitor, peers, suspicions } = monitorFixture(true);
   peers.alive.add(OTHER.address);
-  peers.cutOff.add(OTHER.address);
-  await eventually(() => peers.asked.length >= 5);
+  peers.withoutStore.add(OTHER.address);
+  await eventually(() => peers.requests.length >= 5);
   t.same(suspicions, []);
   monitor.stop();
 });
@@ -63,11 +63,11 @@
   const { monitor, peers, suspicions } = monitorFixture();
   peers.alive.add(OTHER.address);
   peers.idle.add(OTHER.address);
-  await eventually(() => peers.asked.length === 1);
+  await eventually(() => peers.requests.length === 1);
   await PROCESS_CLOCK.sleep(1_100);
-  t.equal(peers.asked.length, 1);
+  t.equal(peers.requests.length, 1);
   peers.alive.delete(OTHER.address);
   await eventually(() => suspicions.length === 1);
-  t.equal(peers.asked.length, 3, 'the failed probe is followed by the next round');
+  t.equal(peers.requests.length, 3, 'the failed probe is followed by the next round');
   monitor.stop();
 });
--- a/test/fleet/regional-gateways.ts
+++ b/test/fleet/regional-gateways.ts
@@ -103,13 +103,13 @@
   readonly engine = new SwitchedEngine();
   readonly deliveries: Delivery[] = [];
   /** Whether the regions are partitioned from each other. */
-  areRegionsApart = false;
+  areRegionsPartitioned = false;
   /** Delay of each commit at the store. */
   commitTime: Milliseconds = 0;
   /** Gateways that do not reach the store. */
   readonly withoutStore = new Set<string>();
   /** Gateways that no other gateway reaches. */
-  readonly alone = new Set<string>();
+  readonly isolated = new Set<string>();
   private readonly gateways = new Map<string, RegionalGateway>();
   private version = 0;
 
@@ -251,8 +251,8 @@
   }
 
   private arePartitioned(from: string, to: string): boolean {
-    if (this.alone.has(from) || this.alone.has(to)) return true;
-    return this.areRegionsApart && this.regionOf(from) !== this.regionOf(to);
+    if (this.isolated.has(from) || this.isolated.has(to)) return true;
+    return this.areRegionsPartitioned && this.regionOf(from) !== this.regionOf(to);
   }
 
   private noteDelivery(to: string, by: PeerRequest['kind'], message: unknown): void {
--- a/test/fleet/regions-property.test.ts
+++ b/test/fleet/regions-property.test.ts
@@ -61,11 +61,11 @@
 
   private change(kind: FleetEvent['kind'], at: string): void {
     const { fleet } = this;
-    if (kind === 'alone') fleet.alone.add(at);
+    if (kind === 'alone') fleet.isolated.add(at);
     if (kind === 'alone' || kind === 'without-store') fleet.withoutStore.add(at);
     if (kind === 'rejoined')
-      for (const failures of [fleet.alone, fleet.withoutStore]) failures.delete(at);
-    if (kind === 'apart' || kind === 'together') fleet.areRegionsApart = kind === 'apart';
+      for (const failures of [fleet.isolated, fleet.withoutStore]) failures.delete(at);
+    if (kind === 'apart' || kind === 'together') fleet.areRegionsPartitioned = kind === 'apart';
     if (kind === 'lapsed') fleet.store.erase(`fleet/node/${at}`);
   }
 
--- a/test/fleet/submission-router.test.ts
+++ b/test/fleet/submission-router.test.ts
@@ -36,7 +36,7 @@
   clock.sleep = () => new Promise<void>(() => {});
   return {
     router: new SubmissionRouter({
-      ...{ calls, fleet, placement, self: OWNER, clock },
+      ...{ requester: calls, fleet, placement, self: OWNER, clock },
       acceptsJobsWithoutStore: () => false,
     }),
     clock,
--- a/test/jobs/journaled-jobs.test.ts
+++ b/test/jobs/journaled-jobs.test.ts
@@ -99,7 +99,7 @@
     await eventually(() => node.service.ownedJobs().every((job) => !job.isActive));
     t.same(await textsAt(otherNode(setup, 'zone-2')), listed, 'the store has the same results');
     t.same(await textsAt(otherNode(setup, 'zone-2'), 'next'), ['e\nf']);
-    await eventually(() => zone.asked.some(({ kind }) => kind === 'journal-release'));
+    await eventually(() => zone.requests.some(({ kind }) => kind === 'journal-release'));
     await untilHeld(zone, 0);
   },
 );
@@ -345,10 +345,10 @@
     const waiting = jobNode(emulator, OWNER, new ScriptedEngine(), NO_PEERS, { journals });
     node.dispatcher.stop();
     const answer = waiting.service.submit(specification('job', 1), always);
-    await eventually(() => zone.asked.some(({ kind }) => kind === 'journal-claim'));
+    await eventually(() => zone.requests.some(({ kind }) => kind === 'journal-claim'));
     const next = zone.journals('other/life').open('job', journals.replicasInOwnZone(), 2);
     t.equal((await next.claim()).kind, 'claimed');
-    zone.denying.set(far.address, far);
+    zone.emptyReplicas.set(far.address, far);
     t.equal((await answer)?.kind, 'outcome_unknown');
     t.same(waiting.service.ownedJobs(), []);
     t.equal((await new JobStore(emulator, new ManualClock()).head('job')).kind, 'absent');
@@ -363,7 +363,7 @@
     const commit = emulator.commit.bind(emulator);
     emulator.commit = async (...parts) => {
       emulator.commit = commit;
-      const next = zone.journals('other/life').open('job', zone.places, 2);
+      const next = zone.journals('other/life').open('job', zone.locations, 2);
       await next.claim();
       return commit(...parts);
     };
--- a/test/jobs/misplaced-jobs.test.ts
+++ b/test/jobs/misplaced-jobs.test.ts
@@ -264,7 +264,7 @@
       emulator.setAvailability('refusing');
       next.registry.put(worker('w1'));
       const appended = (): boolean =>
-        zone.asked.some((asked) => asked.kind === 'journal-append' && asked.entries.length > 0);
+        zone.requests.some((asked) => asked.kind === 'journal-append' && asked.entries.length > 0);
       const ticker = keepWorking(next);
       if (mayAppend) await eventually(appended);
       else await PROCESS_CLOCK.sleep(800);
--- a/test/journal/job-journal.test.ts
+++ b/test/journal/job-journal.test.ts
@@ -95,7 +95,7 @@
           continue;
         }
         if (step.kind === 'take-over') {
-          const journal = owners[step.owner]?.open('job', zone.places, term + 1);
+          const journal = owners[step.owner]?.open('job', zone.locations, term + 1);
           const claim = await journal?.claim();
           if (claim?.kind !== 'claimed') continue;
           term += 1;
--- a/test/journal/journal-fixtures.ts
+++ b/test/journal/journal-fixtures.ts
@@ -37,10 +37,10 @@
   /** Addresses of partitioned replicas. */
   readonly unreachable = new Set<string>();
   /** Replicas of other zones that answer and hold no entries, by address. */
-  readonly denying = new Map<string, ReplicaLocation>();
+  readonly emptyReplicas = new Map<string, ReplicaLocation>();
   readonly folders = new Map<string, string>();
-  readonly places: ReplicaLocation[] = [];
-  readonly asked: PeerRequest[] = [];
+  readonly locations: ReplicaLocation[] = [];
+  readonly requests: PeerRequest[] = [];
 
   private constructor(private readonly test: Test) {}
 
@@ -59,7 +59,7 @@
     const replica = await openReplica(folder);
     this.replicas.set(address, replica);
     this.folders.set(address, folder);
-    this.places.push({ node: `disk-${address}`, zone: ZONE, address, disk: replica.disk });
+    this.locations.push({ node: `disk-${address}`, zone: ZONE, address, disk: replica.disk });
     this.test.teardown(() => replica.stop());
   }
 
@@ -78,8 +78,8 @@
     address: string,
     request: PeerRequest,
   ): Promise<PeerOutcome<Kind>> {
-    this.asked.push(request);
-    const emptyReplica = this.denying.get(address);
+    this.requests.push(request);
+    const emptyReplica = this.emptyReplicas.get(address);
     if (emptyReplica !== undefined) {
       const answer = { disk: emptyReplica.disk, holdsEntries: false };
       return { kind: 'answered', answer } as unknown as PeerOutcome<Kind>;
@@ -98,7 +98,7 @@
     otherReplicas: readonly ReplicaLocation[] = [],
   ): ZoneJournals {
     const directory = new ReplicaDirectory({ clock, groupSize: 3 });
-    for (const location of [...this.places, ...otherReplicas]) {
+    for (const location of [...this.locations, ...otherReplicas]) {
       const key = `${REPLICA_PREFIX}${location.node}`;
       directory.applyChange({ key, value: JSON.stringify(location), revision: 1 });
     }
--- a/test/journal/older-build.test.ts
+++ b/test/journal/older-build.test.ts
@@ -124,7 +124,7 @@
 
 t.test('a claim returns only entries of known kinds', async (t) => {
   const zone = await JournalZone.open(t);
-  const options = { port: zone, metrics: new FleetMetrics(), replicas: zone.places };
+  const options = { port: zone, metrics: new FleetMetrics(), replicas: zone.locations };
   const before = new JobJournal({ ...options, holder: HOLDER });
   t.equal(await before.append([page(0), LATER_ENTRY]), 'kept');
   const next = new JobJournal({ ...options, holder: NEXT });
--- a/test/journal/replica-directory.test.ts
+++ b/test/journal/replica-directory.test.ts
@@ -24,7 +24,7 @@
   const zone = await JournalZone.open(t);
   const { directory, journals, put } = newGateway(zone);
   t.equal(await journals.entryStatusInAllZones('job'), 'unsure');
-  for (const location of zone.places)
+  for (const location of zone.locations)
     put(`${REPLICA_PREFIX}${location.node}`, JSON.stringify(location));
   t.equal(await journals.entryStatusInAllZones('job'), 'unsure');
   directory.noteListed();
@@ -37,7 +37,7 @@
   put(`${JOURNAL_ZONE_PREFIX}${ZONE}`);
   directory.noteListed();
   t.equal(await journals.entryStatusInAllZones('job'), 'unsure');
-  for (const location of zone.places)
+  for (const location of zone.locations)
     put(`${REPLICA_PREFIX}${location.node}`, JSON.stringify(location));
   t.equal(await journals.entryStatusInAllZones('job'), 'not-held');
 });
@@ -47,10 +47,10 @@
   async (t) => {
     const zone = await JournalZone.open(t);
     const { clock, directory, put } = newGateway(zone);
-    for (const location of zone.places)
+    for (const location of zone.locations)
       put(`${REPLICA_PREFIX}${location.node}`, JSON.stringify(location));
     t.equal(directory.groupFor('job', ZONE)?.length, 3);
-    const [first] = zone.places;
+    const [first] = zone.locations;
     directory.applyChange({
       key: `${REPLICA_PREFIX}${first?.node}`,
       value: undefined,
@@ -67,9 +67,9 @@
 t.test('the replica of a draining machine gets no new jobs', async (t) => {
   const zone = await JournalZone.open(t, 4);
   const { directory, put } = newGateway(zone);
-  for (const location of zone.places)
+  for (const location of zone.locations)
     put(`${REPLICA_PREFIX}${location.node}`, JSON.stringify(location));
-  const [drained] = zone.places;
+  const [drained] = zone.locations;
   directory.noteDraining(drained?.node ?? '');
   const group = directory.groupFor('job', ZONE) ?? [];
   t.equal(group.length, 3);
--- a/test/placement/job-residency.test.ts
+++ b/test/placement/job-residency.test.ts
@@ -158,7 +158,7 @@
         live.filter((node) => node !== 'node-0').find(mayAsk),
     } as unknown as PeerRequester;
     const router = new SubmissionRouter({
-      ...{ calls, placement, clock, residency },
+      ...{ requester: calls, placement, clock, residency },
       fleet: { isStoreUnreachable: fleet.isCutOff } as unknown as FleetRegistry,
       self: { ...OWNER, node: 'node-0' },
       acceptsJobsWithoutStore: () => false,
--- a/test/singleton-tasks/usage-sender.test.ts
+++ b/test/singleton-tasks/usage-sender.test.ts
@@ -32,7 +32,7 @@
     node: 'own',
     taskHolder: () => state.taskHolder,
     liveNodes: () => 10,
-    tell: async (holder, _, counts) => {
+    sendCounts: async (holder, _, counts) => {
       sent.push({ holder, counts });
       return state.answers;
     },
