--- a/test/fleet/regional-gateways.ts
+++ b/test/fleet/regional-gateways.ts
@@ -1,6 +1,6 @@
 /**
- * Complete gateways in zones of several regions over one store, which record the messages that
- * carry the body of an item or its result.
+ * Complete gateways in zones of several regions over one store; messages between them that carry
+ * the body of an item or its result are recorded.
  */
 
 import { setTimeout as sleep } from 'node:timers/promises';
@@ -61,7 +61,7 @@
   readonly by: PeerRequest['kind'];
 }
 
-/** The replicas of the zones' journals, by address, and the place of each. */
+/** The replicas of the zones' journals, by address, and the location of each. */
 export interface Replicas {
   readonly byAddress: ReadonlyMap<string, PeerHandler>;
   readonly places: readonly ReplicaLocation[];
--- a/test/fleet/regional-relays.test.ts
+++ b/test/fleet/regional-relays.test.ts
@@ -26,8 +26,8 @@
 }
 
 /**
- * Calls of the far region for {@link CHANGES} changes, once all of its relays have found the first
- * one.
+ * Fewest calls of the far region for {@link CHANGES} changes over several tries, as its relays need
+ * some time to settle.
  */
 async function costOfChanges(fleet: RelayedFleet): Promise<number> {
   let minimum = Number.POSITIVE_INFINITY;
