--- a/src/placement/cold-worker-rule.ts
+++ b/src/placement/cold-worker-rule.ts
@@ -38,7 +38,7 @@
 
 /** Unused permits for one incarnation of a worker. */
 interface HeldPermits {
-  left: number;
+  remaining: number;
   /**
    * By {@link suspendAwareTime}: other gateways are granted permits while this machine is
    * suspended.
@@ -66,7 +66,7 @@
     if (!this.needsPermit(worker)) return;
     const permits = this.validPermits(workerIncarnationOf(worker));
     if (permits === undefined) return;
-    permits.left -= 1;
+    permits.remaining -= 1;
     this.options.metrics.count('cold_permits', { state: 'used' });
   }
 
@@ -112,7 +112,8 @@
   prune(): void {
     const now = this.options.clock.now();
     for (const incarnation of this.held.keys()) this.dropExpired(incarnation);
-    for (const [life, until] of this.pausedUntil) if (until <= now) this.pausedUntil.delete(life);
+    for (const [incarnation, until] of this.pausedUntil)
+      if (until <= now) this.pausedUntil.delete(incarnation);
   }
 
   private applyGrant(
@@ -129,10 +130,10 @@
   private store(incarnation: WorkerIncarnation, permits: number, expiresAt: Milliseconds): void {
     this.options.metrics.count('cold_permits', { state: 'received' }, permits);
     this.dropExpired(incarnation);
-    const replaced = this.held.get(incarnation)?.left ?? 0;
+    const replaced = this.held.get(incarnation)?.remaining ?? 0;
     // Earlier permits expire sooner and are few: they are dropped rather than merged.
     if (replaced > 0) this.countExpired(replaced);
-    this.held.set(incarnation, { left: permits, expiresAt });
+    this.held.set(incarnation, { remaining: permits, expiresAt });
   }
 
   private needsPermit(worker: WorkerRecord): boolean {
@@ -145,15 +146,15 @@
   private validPermits(incarnation: WorkerIncarnation): HeldPermits | undefined {
     this.dropExpired(incarnation);
     const permits = this.held.get(incarnation);
-    return permits === undefined || permits.left < 1 ? undefined : permits;
+    return permits === undefined || permits.remaining < 1 ? undefined : permits;
   }
 
   private dropExpired(incarnation: WorkerIncarnation): void {
     const permits = this.held.get(incarnation);
     if (permits === undefined || suspendAwareTime(this.options.clock) < permits.expiresAt) return;
     this.held.delete(incarnation);
-    if (permits.left === 0) return;
-    this.countExpired(permits.left);
+    if (permits.remaining === 0) return;
+    this.countExpired(permits.remaining);
     this.pausedUntil.set(incarnation, this.options.clock.now() + UNUSED_PERMIT_PAUSE);
   }
 
--- a/src/serving/forwarded-exchange.ts
+++ b/src/serving/forwarded-exchange.ts
@@ -42,8 +42,8 @@
     service: ServiceName,
     private readonly sink: AnswerSink,
   ) {
-    const patience = Math.min(request.timeout ?? Number.POSITIVE_INFINITY, route.timeout);
-    this.deadline = request.receivedAt + patience;
+    const timeout = Math.min(request.timeout ?? Number.POSITIVE_INFINITY, route.timeout);
+    this.deadline = request.receivedAt + timeout;
     const parts = { ...options, request, route, service };
     this.sender = new WorkerSender({ ...parts, remaining: () => this.remaining() });
     this.report = new ExchangeReport(parts);
@@ -107,14 +107,14 @@
         const wantsNewConnection = pending > 0;
         pending += 1;
         hedge = setTimeout(startNext, hedgeDelay);
-        void this.attemptWhole(worker, wantsNewConnection).then((end) => {
+        void this.attemptWhole(worker, wantsNewConnection).then((result) => {
           pending -= 1;
           if (this.isFinished) return finish();
-          if (isUsable(end)) {
-            this.deliver(end);
+          if (isUsable(result)) {
+            this.deliver(result);
             return finish();
           }
-          lastResult = end;
+          lastResult = result;
           startNext();
         });
       };
--- a/src/serving/request-quarantine.ts
+++ b/src/serving/request-quarantine.ts
@@ -118,7 +118,8 @@
       this.evidence.withdraw(fingerprint, incarnation);
       return;
     }
-    if (!this.evidence.crashesUnder(fingerprint).some((end) => end.worker === incarnation)) return;
+    if (!this.evidence.crashesUnder(fingerprint).some((crash) => crash.worker === incarnation))
+      return;
     this.logQuarantine(fingerprint);
     const incarnations = this.unreported.get(fingerprint);
     if (incarnations === undefined) this.unreported.set(fingerprint, new Set([incarnation]));
--- a/test/placement/cold-workers.test.ts
+++ b/test/placement/cold-workers.test.ts
@@ -94,10 +94,10 @@
   const [granter, requester] = fleet(2) as [ColdGateway, ColdGateway];
   requester.send(COLD, 1);
   const sentAt = requester.clock.time;
-  const wishes = requester.rule.takeRequests();
+  const requests = requester.rule.takeRequests();
   // The granter is suspended for long and does not know yet that another has replaced it.
   requester.clock.time += GRANTER_WAIT + 5_000;
-  const answer = granter.granter.answer(wishes);
+  const answer = granter.granter.answer(requests);
   requester.warmth.noteReported(COLD, 3_000, requester.clock.time);
   requester.applyAnswer(answer, sentAt);
   t.equal(requester.send(COLD, 5), 0);
--- a/test/placement/distance-costs.test.ts
+++ b/test/placement/distance-costs.test.ts
@@ -65,13 +65,13 @@
 /** Places items among two workers per zone with these event intervals, and counts them by zone. */
 function placeItems(
   items: number,
-  paces: Readonly<Record<string, number>>,
+  eventIntervals: Readonly<Record<string, number>>,
   needs = NEEDS,
 ): (zone: string) => number {
-  const workers = Object.entries(paces).flatMap(([zone, pace]) =>
+  const workers = Object.entries(eventIntervals).flatMap(([zone, eventInterval]) =>
     [1, 2].map((number) => {
       const made = new KnownWorker(worker(`${zone}/${number}`, { zone, slots: SLOTS }));
-      made.noteEventInterval(pace);
+      made.noteEventInterval(eventInterval);
       return made;
     }),
   );
--- a/test/placement/job-residency.test.ts
+++ b/test/placement/job-residency.test.ts
@@ -83,8 +83,8 @@
 
 t.test('a job without a matching route stays in the region that accepted it', async (t) => {
   const residency = residencyOf({ job: ['north'] });
-  const gone = { zone: 'south-1', requests: [{ host: 'gone.example', path: '/' }] };
-  t.same(residency.regionsForOrigin(gone), ['south']);
+  const unmatched = { zone: 'south-1', requests: [{ host: 'gone.example', path: '/' }] };
+  t.same(residency.regionsForOrigin(unmatched), ['south']);
   t.same(residency.regionsForOrigin({ zone: 'south-1' }), ['south'], 'a head without requests');
   t.same(residency.regionsForOrigin({ zone: 'south-1', tenant: 'nobody' }), ['south']);
   t.equal(residency.regionsForOrigin({}), undefined, 'the accepting zone is unknown');
--- a/test/placement/permit-bucket.test.ts
+++ b/test/placement/permit-bucket.test.ts
@@ -28,19 +28,19 @@
     ],
   ] as const;
   for (const [coldStart, tolerance] of cases) {
-    const pace = permitLimits(coldStart, tolerance);
+    const limits = permitLimits(coldStart, tolerance);
     const bound = Math.floor(coldStart.requestsPerSecond * tolerance.factor + tolerance.requests);
     const bucket = new PermitBucket();
     const grants: number[] = [];
     for (let now = 0; now < 20_000; now += 7) {
-      const wanted = now % 3_001 < 1_500 ? 5 : 0;
-      for (let left = bucket.take(wanted, pace, now); left > 0; left -= 1) grants.push(now);
+      const requested = now % 3_001 < 1_500 ? 5 : 0;
+      for (let left = bucket.take(requested, limits, now); left > 0; left -= 1) grants.push(now);
     }
     const window = 1_000 + MAX_GRANT_TO_SEND_DELAY;
-    const most = Math.max(
+    const maximum = Math.max(
       0,
       ...grants.map((from) => grants.filter((at) => at >= from && at <= from + window).length),
     );
-    t.ok(most <= bound, `${most} of ${bound}`);
+    t.ok(maximum <= bound, `${maximum} of ${bound}`);
   }
 });
--- a/test/placement/stale-evacuation-rule.test.ts
+++ b/test/placement/stale-evacuation-rule.test.ts
@@ -16,34 +16,34 @@
     rule.tick();
     return rule.isStale;
   };
-  return { surroundings: state, belief: rule, lines, isOutdated: isStale };
+  return { state, rule, lines, isStale };
 }
 
 t.test('sends are rejected once the last contact is older than the limit', async (t) => {
-  const { surroundings, belief, lines, isOutdated } = fixture();
-  surroundings.age = 5_000;
-  t.notOk(isOutdated());
-  surroundings.age = 5_001;
-  t.ok(isOutdated());
-  t.equal(belief.rejectionOf(), 'evacuations-unknown');
-  surroundings.age = 20;
-  t.equal(belief.rejectionOf(), undefined, 'immediately after a contact, before the next tick');
+  const { state, rule, lines, isStale } = fixture();
+  state.age = 5_000;
+  t.notOk(isStale());
+  state.age = 5_001;
+  t.ok(isStale());
+  t.equal(rule.rejectionOf(), 'evacuations-unknown');
+  state.age = 20;
+  t.equal(rule.rejectionOf(), undefined, 'immediately after a contact, before the next tick');
   t.same(lines, ['evacuations-unknown', 'evacuations-known']);
 });
 
 t.test(
   'no sends are rejected without a limit, without peers, or before the first contact',
   async (t) => {
-    const { surroundings, isOutdated } = fixture();
-    surroundings.age = Number.POSITIVE_INFINITY;
-    t.notOk(isOutdated(), 'a node without a first contact serves nothing');
-    surroundings.age = 60_000;
-    surroundings.hasPeers = false;
-    t.notOk(isOutdated(), 'no peer could know more');
-    surroundings.hasPeers = true;
-    surroundings.limit = undefined;
-    t.notOk(isOutdated());
-    surroundings.limit = 5_000;
-    t.ok(isOutdated());
+    const { state, isStale } = fixture();
+    state.age = Number.POSITIVE_INFINITY;
+    t.notOk(isStale(), 'a node without a first contact serves nothing');
+    state.age = 60_000;
+    state.hasPeers = false;
+    t.notOk(isStale(), 'no peer could know more');
+    state.hasPeers = true;
+    state.limit = undefined;
+    t.notOk(isStale());
+    state.limit = 5_000;
+    t.ok(isStale());
   },
 );
--- a/test/placement/worker-warmth.test.ts
+++ b/test/placement/worker-warmth.test.ts
@@ -53,11 +53,11 @@
     const clock = new ManualClock();
     const warmth = new WorkerWarmth(clock);
     warmth.noteListed();
-    const untold = worker('w1');
-    warmth.noteRecord(untold);
+    const unreported = worker('w1');
+    warmth.noteRecord(unreported);
     clock.time += 2_900;
-    t.equal(warmth.of(untold, COLD_START).kind, 'doubtful');
+    t.equal(warmth.of(unreported, COLD_START).kind, 'doubtful');
     clock.time += 300;
-    t.equal(warmth.of(untold, COLD_START).kind, 'warm');
+    t.equal(warmth.of(unreported, COLD_START).kind, 'warm');
   },
 );
--- a/test/placement/zone-return.ts
+++ b/test/placement/zone-return.ts
@@ -189,9 +189,9 @@
   }
 
   private finishWork(): void {
-    for (const one of this.workers) {
-      const done = one.running.filter(({ endsAt }) => endsAt <= this.now);
-      one.running = one.running.filter(({ endsAt }) => endsAt > this.now);
+    for (const worker of this.workers) {
+      const done = worker.running.filter(({ endsAt }) => endsAt <= this.now);
+      worker.running = worker.running.filter(({ endsAt }) => endsAt > this.now);
       for (const { request } of done) {
         if (this.now - request.arrivedAt <= ON_TIME_LIMIT) this.outcome.servedInTime += 1;
         else this.outcome.servedLate += 1;
@@ -208,20 +208,22 @@
     this.waiting = left;
   }
 
-  /** Another gateway takes over the work of a killed one at once. */
+  /** Another gateway takes over the work of a killed gateway at once. */
   private ownerOf({ gateway }: Request): number {
     return this.isAlive(gateway) ? gateway : gateway + 1;
   }
 
   private start(request: Request): boolean {
     const owner = this.ownerOf(request);
-    const isKnown = (one: Worker): boolean =>
-      one.downUntil === 0 || this.now >= RETURN_AT + 100 * owner;
+    const isKnown = (worker: Worker): boolean =>
+      worker.downUntil === 0 || this.now >= RETURN_AT + 100 * owner;
     const free = this.workers.filter(
-      (one) => one.running.length < SLOTS && this.now >= one.downUntil && isKnown(one),
+      (worker) => worker.running.length < SLOTS && this.now >= worker.downUntil && isKnown(worker),
+    );
+    free.sort((left, right) => left.running.length - right.running.length);
+    const best = free.find(
+      (worker) => this.rules[owner]?.admit(worker.record, undefined) === undefined,
     );
-    free.sort((one, other) => one.running.length - other.running.length);
-    const best = free.find((one) => this.rules[owner]?.admit(one.record, undefined) === undefined);
     if (best === undefined) return false;
     if (this.now - request.arrivedAt > LONG_WAIT) this.outcome.waited += 1;
     best.running.push({ request, endsAt: this.now + WORK });
@@ -229,21 +231,21 @@
     return true;
   }
 
-  private noteSentToCold(one: Worker): void {
-    one.sentWhileCold.push(this.now);
-    const within = one.sentWhileCold.filter((at) => at >= this.now - 1_000).length;
+  private noteSentToCold(worker: Worker): void {
+    worker.sentWhileCold.push(this.now);
+    const within = worker.sentWhileCold.filter((at) => at >= this.now - 1_000).length;
     this.outcome.sentToCold += 1;
     this.outcome.maxPerSecond = Math.max(this.outcome.maxPerSecond, within);
-    if (within > HARD_BOUND) this.crash(one);
+    if (within > HARD_BOUND) this.crash(worker);
   }
 
-  private crash(one: Worker): void {
+  private crash(worker: Worker): void {
     this.outcome.crashed += 1;
-    this.waiting.push(...one.running.map(({ request }) => request));
-    one.running = [];
-    one.sentWhileCold = [];
-    one.downUntil = this.now + RESTART_TIME;
-    one.coldUntil = one.downUntil + COLD_START.duration;
+    this.waiting.push(...worker.running.map(({ request }) => request));
+    worker.running = [];
+    worker.sentWhileCold = [];
+    worker.downUntil = this.now + RESTART_TIME;
+    worker.coldUntil = worker.downUntil + COLD_START.duration;
   }
 
   private requestMissingPermits(): void {
@@ -267,12 +269,12 @@
     const answer = this.gateways[granter]?.granter.answer(requests);
     if (answer === undefined) return;
     const apply = (): void => void gateway.applyAnswer(answer, sentAt);
-    this.answers.push({ gateway: index, at: this.now + delay, apply: apply });
+    this.answers.push({ gateway: index, at: this.now + delay, apply });
   }
 
   private applyAnswers(index: number): void {
-    const mine = this.answers.filter((one) => one.gateway === index && one.at <= this.now);
-    this.answers = this.answers.filter((one) => !mine.includes(one));
-    for (const { apply: take } of mine) take();
+    const mine = this.answers.filter((answer) => answer.gateway === index && answer.at <= this.now);
+    this.answers = this.answers.filter((answer) => !mine.includes(answer));
+    for (const { apply } of mine) apply();
   }
 }
--- a/test/serving/request-forwarder.test.ts
+++ b/test/serving/request-forwarder.test.ts
@@ -56,7 +56,7 @@
   const sink = new RecordingSink();
   const request = callerRequest(requestFields);
   await forwarder.forward(request, route(routeFields), 'service', sink);
-  return { sink, engine, started: started };
+  return { sink, engine, started };
 }
 
 t.test('the answer of a worker is relayed unchanged', async (t) => {
--- a/test/serving/serving-fixtures.ts
+++ b/test/serving/serving-fixtures.ts
@@ -193,7 +193,7 @@
   probeLiveness: (worker: WorkerRecord) => Promise<WorkerLiveness> = async () => 'lives',
 ): RequestQuarantine {
   return new RequestQuarantine({
-    probeLiveness: probeLiveness,
+    probeLiveness,
     reportCrash: () => {},
     reportAcquittal: () => {},
     clock: PROCESS_CLOCK,
