--- a/src/serving/engine-port.ts
+++ b/src/serving/engine-port.ts
@@ -113,7 +113,7 @@
   /** Unix time in milliseconds of the worker's start; `undefined` where it does not report that. */
   readonly startedAt?: number | undefined;
   readonly models: readonly HeldModel[];
-  /** Whether the worker carries out an order. */
+  /** Whether the worker is carrying out an order. */
   readonly busy: boolean;
   /** Orders accepted since the start. */
   readonly sequence: number;
--- a/test/placement/job-residency.test.ts
+++ b/test/placement/job-residency.test.ts
@@ -95,25 +95,25 @@
   t.equal(residency.mayHoldIn('nowhere', ['north']), false);
   t.equal(residency.mayHoldIn(undefined, ['north']), false);
   t.equal(residency.mayHoldIn(undefined, undefined), true);
-  t.equal(residency.mayHold('stranger', ['north']), false);
+  t.equal(residency.mayHold('node-unknown', ['north']), false);
   t.equal(residency.mayHoldHere(['north']), true, 'the own zone is in the settings');
 });
 
-/** Region of each zone, zone of each node, limits, dead nodes and outcomes of peer requests. */
+/** Region of each zone, zone of each node, limits, terminated nodes and outcomes of peer requests. */
 const FLEETS = fc.record({
   regionOfZone: fc.array(fc.nat(3), { minLength: 1, maxLength: 6 }),
   zoneOfNode: fc.array(fc.nat(7), { minLength: 1, maxLength: 14 }),
-  dead: fc.array(fc.nat(13)),
+  terminated: fc.array(fc.nat(13)),
   job: fc.option(fc.array(fc.nat(4), { maxLength: 3 }), { nil: undefined }),
   tenant: fc.option(fc.array(fc.nat(4), { maxLength: 3 }), { nil: undefined }),
-  servesAlone: fc.boolean(),
-  isCutOff: fc.boolean(),
+  areZonesAutonomous: fc.boolean(),
+  isStoreUnreachable: fc.boolean(),
   outcomes: fc.infiniteStream(fc.constantFrom('refused', 'silent', 'unavailable', 'taken')),
 });
 
 t.test('no node outside its regions is offered a job, owns it or stores it', async (t) => {
   const spec = { ...specification('job', 2), tenant: 'owner' };
-  const drawn = fc.asyncProperty(FLEETS, async (fleet) => {
+  const property = fc.asyncProperty(FLEETS, async (fleet) => {
     const zoneName = (zone: number): string => `zone-${zone}`;
     const regionName = (region: number): string => `region-${region}`;
     const zones = new Map(fleet.regionOfZone.map((r, zone) => [zoneName(zone), regionName(r)]));
@@ -122,7 +122,7 @@
       return zone === undefined ? undefined : zoneName(zone);
     };
     const names = fleet.zoneOfNode.map((_, index) => `node-${index}`);
-    const live = names.filter((_, index) => index === 0 || !fleet.dead.includes(index));
+    const live = names.filter((_, index) => index === 0 || !fleet.terminated.includes(index));
     const limits = { job: fleet.job?.map(regionName), tenant: fleet.tenant?.map(regionName) };
     const routes = matcherOf(limits);
     const own = zoneOf('node-0') ?? '';
@@ -135,7 +135,7 @@
       return isAllowedBy(limits.job) && isAllowedBy(limits.tenant);
     };
     const clock = new ManualClock();
-    const localities = localitiesOf(topology, fleet.servesAlone);
+    const localities = localitiesOf(topology, fleet.areZonesAutonomous);
     const placement = new JobPlacement({
       ...{ liveNodes: () => live, capacityOf: () => 1, clock },
       localities: localities && { ...localities, zoneOf },
@@ -159,7 +159,7 @@
     } as unknown as PeerRequester;
     const router = new SubmissionRouter({
       ...{ calls, placement, clock, residency },
-      fleet: { isStoreUnreachable: fleet.isCutOff } as unknown as FleetRegistry,
+      fleet: { isStoreUnreachable: fleet.isStoreUnreachable } as unknown as FleetRegistry,
       self: { ...OWNER, node: 'node-0' },
       acceptsJobsWithoutStore: () => false,
     });
@@ -174,6 +174,6 @@
     const canBeOwned = isAnyInside === owners.length > 0;
     return [...reached, ...owners].every(isInside) && isKeptInside && canBeOwned;
   });
-  await fc.assert(drawn, { numRuns: 1_000 });
+  await fc.assert(property, { numRuns: 1_000 });
   t.pass('over generated topologies, limits and live nodes');
 });
--- a/test/placement/shared-rate.ts
+++ b/test/placement/shared-rate.ts
@@ -22,12 +22,12 @@
   constructor(
     private readonly gateway: ColdGateway,
     private readonly name: string,
-    private readonly alive: () => readonly string[],
+    private readonly liveNodes: () => readonly string[],
   ) {}
 
   rejectionOf(record: WorkerRecord): SendRejection | undefined {
     if (this.gateway.warmth.of(record, COLD_START).kind === 'warm') return undefined;
-    const senders = rendezvousOrder(record.id, this.alive(), (name) => name).slice(0, 2);
+    const senders = rendezvousOrder(record.id, this.liveNodes(), (name) => name).slice(0, 2);
     if (!senders.includes(this.name)) return 'worker-cold';
     const bucket = this.buckets.get(record.id) ?? new PermitBucket();
     this.buckets.set(record.id, bucket);
--- a/test/serving/evacuated-zone.test.ts
+++ b/test/serving/evacuated-zone.test.ts
@@ -82,14 +82,14 @@
 });
 
 t.test('a broken stream is resumed in another zone', async (t) => {
-  const pieces = async function* (): AsyncGenerator<Buffer> {
+  const chunks = async function* (): AsyncGenerator<Buffer> {
     yield Buffer.from(events(0, 'ab'));
     throw new Error('reset');
   };
-  const begun = answer('', { body: Readable.from(pieces()), isStream: true });
+  const broken = answer('', { body: Readable.from(chunks()), isStream: true });
   const resumed = answer(events(2, 'c'), { isStream: true });
   const fields = { kind: 'streaming', resumable: true } as const;
-  const { sink, sentTo } = await forward([begun, resumed], fields);
+  const { sink, sentTo } = await forward([broken, resumed], fields);
   t.equal(sink.body, events(0, 'abc'));
   t.equal(sink.ending, 'complete');
   t.same(sentTo, ['near-1', 'far']);
--- a/test/serving/regional-requests.test.ts
+++ b/test/serving/regional-requests.test.ts
@@ -109,8 +109,8 @@
     routes: () => (engine.requests.length === 0 ? before : after),
   });
   const sink = new RecordingSink();
-  const taken = route({ kind: 'mutating', allowedRegions: ['north'] });
-  await forwarder.forward(callerRequest(), taken, 'service', sink);
+  const arrivalRoute = route({ kind: 'mutating', allowedRegions: ['north'] });
+  await forwarder.forward(callerRequest(), arrivalRoute, 'service', sink);
   t.same(
     engine.requests.map((sent) => sent.worker.zone),
     ['north-1', 'south-1'],
--- a/test/serving/serving-fixtures.ts
+++ b/test/serving/serving-fixtures.ts
@@ -105,11 +105,11 @@
 
 /** An answer whose connection breaks after some bytes of the body. */
 export function brokenAnswer(body: string, fields: Partial<EngineAnswer> = {}): EngineAnswer {
-  const pieces = async function* (): AsyncGenerator<Buffer> {
+  const chunks = async function* (): AsyncGenerator<Buffer> {
     yield Buffer.from(body);
     throw new Error('reset');
   };
-  return answer('', { body: Readable.from(pieces()), ...fields });
+  return answer('', { body: Readable.from(chunks()), ...fields });
 }
 
 /** Events numbered from `first`, with one letter of data each. */
