--- a/src/jobs/owned-item.ts
+++ b/src/jobs/owned-item.ts
@@ -51,7 +51,7 @@
   }));
   return {
     item,
-    fingerprinted: fingerprinted,
+    fingerprinted,
     progress: new ItemProgress(rule),
     state: 'waiting',
     run: undefined,
--- a/test/jobs/job-service.test.ts
+++ b/test/jobs/job-service.test.ts
@@ -50,14 +50,14 @@
 });
 
 /** A stream that sends some events and then stalls. */
-function pausingAnswer(letters: string): EngineOutcome {
+function stallingAnswer(letters: string): EngineOutcome {
   const body = new Readable({ read: () => {} });
   body.push(Buffer.from(events(0, letters)));
   return answer('', { body, isStream: true });
 }
 
 t.test('an item whose stream stalls resumes on another worker', async (t) => {
-  const engine = new ScriptedEngine([pausingAnswer('ab'), stream('cd', 2)]);
+  const engine = new ScriptedEngine([stallingAnswer('ab'), stream('cd', 2)]);
   const node = jobNode(new SharedStoreEmulator(), OWNER, engine);
   node.registry.put(worker('w1'));
   node.registry.put(worker('w2'));
@@ -83,7 +83,7 @@
 });
 
 t.test('an item whose stream stalls stays if no other worker can run it', async (t) => {
-  const engine = new ScriptedEngine([pausingAnswer('ab')]);
+  const engine = new ScriptedEngine([stallingAnswer('ab')]);
   const node = jobNode(new SharedStoreEmulator(), OWNER, engine);
   node.registry.put(worker('w1'));
   node.registry.put(worker('w2', { draining: true }));
@@ -95,7 +95,7 @@
 });
 
 t.test('the last run of a job moves to a moderately faster worker, once', async (t) => {
-  const script = [pausingAnswer('ab'), stream('xy'), stream('cd', 2)];
+  const script = [stallingAnswer('ab'), stream('xy'), stream('cd', 2)];
   const engine = new ScriptedEngine(script);
   const node = jobNode(new SharedStoreEmulator(), OWNER, engine);
   node.registry.put(worker('slow'));
--- a/test/jobs/near-zone.test.ts
+++ b/test/jobs/near-zone.test.ts
@@ -32,9 +32,9 @@
 
 /** Places items and returns their counts by worker zone. */
 function placeItems(workers: KnownWorker[], items: number, nearZone?: string): number[] {
-  const wayCost =
+  const distanceCost =
     nearZone === undefined ? undefined : itemDistanceCost(topologyWithoutRegions(nearZone), true);
-  const round = new PlacementRound(workers, NOW, wayCost);
+  const round = new PlacementRound(workers, NOW, distanceCost);
   const counts = new Map(ZONES.map((zone) => [zone, 0]));
   for (let item = 0; item < items; item += 1) {
     const chosen = round.place(NEEDS, undefined);
--- a/test/jobs/partitioned-owner.test.ts
+++ b/test/jobs/partitioned-owner.test.ts
@@ -14,7 +14,7 @@
 import { jobNode, keepWorking } from './job-node.js';
 
 /** A stream that sends some events and then stalls. */
-function pausingAnswer(letters: string): EngineOutcome {
+function stallingAnswer(letters: string): EngineOutcome {
   const body = new Readable({ read: () => {} });
   body.push(Buffer.from(events(0, letters)));
   return answer('', { body, isStream: true });
@@ -26,7 +26,7 @@
   const link = new StoreLink(emulator);
   const engine = new ScriptedEngine([
     answer(events(0, 'ab'), { isStream: true }),
-    pausingAnswer('xy'),
+    stallingAnswer('xy'),
   ]);
   const owner = jobNode(link, OWNER, engine);
   owner.registry.put(worker('w1'));
--- a/test/jobs/placement-round.test.ts
+++ b/test/jobs/placement-round.test.ts
@@ -63,7 +63,7 @@
   t.equal(placed.length, ITEMS);
   t.ok(CountingWorker.comparisons <= 70 * ITEMS, `${CountingWorker.comparisons} comparisons`);
   t.ok(workers.every(({ inFlight }) => inFlight <= SLOTS));
-  const slow = placed.filter(({ eventInterval: pace }) => pace === 52).length;
+  const slow = placed.filter(({ eventInterval }) => eventInterval === 52).length;
   t.ok(slow < ITEMS / 10, `${slow} of ${ITEMS} at slower workers while fast ones are free`);
 });
 
@@ -86,7 +86,7 @@
 t.test('the worker that has cached the shared prompt is always compared', async (t) => {
   const workers = largeFleet();
   for (const entry of workers) entry.inFlight = 2;
-  const reader = workers[WORKERS - 2];
-  t.equal(reader?.eventInterval, 40);
-  t.equal(new PlacementRound(workers, NOW).place(NEEDS, reader?.record.id), reader);
+  const promptWorker = workers[WORKERS - 2];
+  t.equal(promptWorker?.eventInterval, 40);
+  t.equal(new PlacementRound(workers, NOW).place(NEEDS, promptWorker?.record.id), promptWorker);
 });
