--- a/src/jobs/item-dispatcher.ts
+++ b/src/jobs/item-dispatcher.ts
@@ -22,8 +22,8 @@
   /** The routes in force; `undefined` before the first configuration. */
   readonly routes: () => RouteMatcher | undefined;
   /**
-   * Whether the store answers no node here. No job can be cancelled through it then, so items of
-   * jobs with unconfirmed ownership are still sent.
+   * Whether the store is unreachable from this node. Only then are items of jobs with unconfirmed
+   * ownership sent.
    */
   readonly isStoreUnreachable: () => boolean;
   /** Distance cost of sending to a worker in a zone. @default no zone has a cost */
--- a/test/jobs/job-node.ts
+++ b/test/jobs/job-node.ts
@@ -60,7 +60,7 @@
 export interface JobNodeExtras {
   readonly journals?: ZoneJournals;
   readonly isWriterLive?: (writer: string) => boolean;
-  /** Whether the store answers no node. @default it does not */
+  /** Whether the store is unreachable from the node. @default it is */
   readonly isStoreUnreachable?: () => boolean;
   /** Which workers may be sent work. @default all */
   readonly rules?: SendRules;
--- a/test/jobs/unconfirmed-job.test.ts
+++ b/test/jobs/unconfirmed-job.test.ts
@@ -45,14 +45,14 @@
   return { node, sent: () => engine.requests.length };
 }
 
-t.test('no items of an unconfirmed job are sent while the store answers other nodes', async (t) => {
+t.test('no items of an unconfirmed job are sent while the store is reachable', async (t) => {
   const { node, sent } = await unconfirmedNode(false);
   for (let tick = 0; tick < 5; tick += 1) node.dispatcher.tick();
   t.equal(sent(), 0);
   node.dispatcher.stop();
 });
 
-t.test('items of an unconfirmed job are sent while the store answers no node', async (t) => {
+t.test('items of an unconfirmed job are sent while the store is unreachable', async (t) => {
   const { node, sent } = await unconfirmedNode(true);
   node.dispatcher.tick();
   t.equal(sent(), 1);
