--- a/src/cli/client-command.ts
+++ b/src/cli/client-command.ts
@@ -32,7 +32,7 @@
 }
 
 /** Sends one request and prints the answer; `changes` says whether the request changes anything. */
-export async function askAndPrint(
+export async function requestAndPrint(
   input: CommandInput,
   request: OperatorRequest,
   changes: boolean,
--- a/src/cli/document-text.ts
+++ b/src/cli/document-text.ts
@@ -34,11 +34,11 @@
 function renderTable(records: readonly Fields[], indent: string): string[] {
   const columns = [...new Set(records.flatMap((record) => Object.keys(record)))];
   const rows = [columns, ...records.map((record) => columns.map((column) => cell(record[column])))];
-  const widths = columns.map((_, place) =>
-    Math.max(...rows.map((row) => (row[place] ?? '').length)),
+  const widths = columns.map((_, index) =>
+    Math.max(...rows.map((row) => (row[index] ?? '').length)),
   );
   return rows.map((row) => {
-    const cells = row.map((text, place) => text.padEnd(widths[place] ?? 0));
+    const cells = row.map((text, index) => text.padEnd(widths[index] ?? 0));
     return (indent + cells.join(COLUMN_GAP)).trimEnd();
   });
 }
--- a/src/cli/drain-command.ts
+++ b/src/cli/drain-command.ts
@@ -1,6 +1,6 @@
 /** `wardwing drain`: keeps new work from a node, a worker or a zone, or takes that back. */
 import { DRAIN_KINDS } from '../config-feed/configuration.js';
-import { askAndPrint, CLIENT_FLAGS } from './client-command.js';
+import { CLIENT_FLAGS, requestAndPrint } from './client-command.js';
 import { type Command, flagText, reportProblems, switchFlag, valueFlag } from './command.js';
 
 /** The command. */
@@ -30,6 +30,6 @@
       reason: flagText(input.flags, 'reason') ?? '',
       drained: input.flags.undo !== true,
     };
-    return askAndPrint(input, { method: 'POST', path: '/v1/drains', body }, true);
+    return requestAndPrint(input, { method: 'POST', path: '/v1/drains', body }, true);
   },
 };
--- a/src/cli/explain-command.ts
+++ b/src/cli/explain-command.ts
@@ -10,7 +10,7 @@
   parseLogLine,
   traceSubject,
 } from '../telemetry/log-trace.js';
-import { askAndPrint, CLIENT_FLAGS } from './client-command.js';
+import { CLIENT_FLAGS, requestAndPrint } from './client-command.js';
 import { type Command, type CommandInput, flagText, reportProblems, valueFlag } from './command.js';
 import { EXIT_CODES, type ExitCode } from './exit-codes.js';
 
@@ -26,7 +26,7 @@
     if (logs !== undefined) return explainFromLogs(input, logs);
     const subject = encodeURIComponent(input.parameters[0] ?? '');
     const request = { method: 'GET', path: `/v1/explain/${subject}`, body: null } as const;
-    return askAndPrint(input, request, false);
+    return requestAndPrint(input, request, false);
   },
 };
 
@@ -53,11 +53,11 @@
 }
 
 /** All lines of a file, or of the files of a folder; `undefined` where there is none. */
-function readLogs(place: string): LogLine[] | undefined {
+function readLogs(location: string): LogLine[] | undefined {
   try {
-    const files = statSync(place).isDirectory()
-      ? readdirSync(place).map((name) => path.join(place, name))
-      : [place];
+    const files = statSync(location).isDirectory()
+      ? readdirSync(location).map((name) => path.join(location, name))
+      : [location];
     return files
       .filter((file) => statSync(file).isFile())
       .flatMap((file) => readFileSync(file, 'utf8').split('\n'))
--- a/src/cli/in-force-report.ts
+++ b/src/cli/in-force-report.ts
@@ -5,7 +5,7 @@
 import type { OperatorClient } from './operator-client.js';
 
 /** Time between two looks at the status, in milliseconds. */
-const STATUS_INTERVAL = 500;
+const STATUS_POLL_INTERVAL_MS = 500;
 
 /** What the status says of one zone. */
 export interface ZoneStatus {
@@ -40,16 +40,16 @@
 ): Promise<ExitCode> {
   const reported = new Set<string>();
   let zones: Readonly<Record<string, ZoneStatus>> = {};
-  for (let waited = 0; ; waited += STATUS_INTERVAL) {
+  for (let waited = 0; ; waited += STATUS_POLL_INTERVAL_MS) {
     const answer = await client.send({ method: 'GET', path: '/v1/status', body: null });
     if (answer.isOk) zones = zonesOf(answer.value);
-    for (const report of freshReports(zones, revision, waited, reported)) {
+    for (const report of newReports(zones, revision, waited, reported)) {
       printDocument(input, report);
     }
     const complete = Object.keys(zones).length > 0 && reported.size === Object.keys(zones).length;
     if (complete) return EXIT_CODES.ok;
-    if (waited >= timeout) return reportMissing(input, zones, reported, waited);
-    await input.terminal.pause(STATUS_INTERVAL);
+    if (waited >= timeout) return reportUnfinished(input, zones, reported, waited);
+    await input.terminal.pause(STATUS_POLL_INTERVAL_MS);
   }
 }
 
@@ -58,7 +58,7 @@
   return typeof zones === 'object' && zones !== null ? (zones as Record<string, ZoneStatus>) : {};
 }
 
-function freshReports(
+function newReports(
   zones: Readonly<Record<string, ZoneStatus>>,
   revision: number,
   waited: number,
@@ -79,7 +79,7 @@
   return complete && status.lowestRevision !== null && status.lowestRevision >= revision;
 }
 
-function reportMissing(
+function reportUnfinished(
   input: CommandInput,
   zones: Readonly<Record<string, ZoneStatus>>,
   reported: ReadonlySet<string>,
--- a/src/cli/intent-confirm-command.ts
+++ b/src/cli/intent-confirm-command.ts
@@ -13,7 +13,7 @@
 import { waitUntilInForce } from './in-force-report.js';
 import type { OperatorClient } from './operator-client.js';
 
-const STANDARD_WAIT = '30s';
+const DEFAULT_WAIT_TIMEOUT = '30s';
 
 /** The command. */
 export const intentConfirmCommand: Command = {
@@ -23,17 +23,20 @@
   flags: [
     ...CLIENT_FLAGS,
     switchFlag('wait', 'Report per zone when the change is in force'),
-    valueFlag('wait-timeout', `Longest wait for all zones, ${STANDARD_WAIT} where not given`),
+    valueFlag(
+      'wait-timeout',
+      `Longest wait for all zones, ${DEFAULT_WAIT_TIMEOUT} where not given`,
+    ),
   ],
   examples: [
     'intent confirm 3f2a90c41b7d5e68 --endpoint 127.0.0.1:7400',
     'intent confirm 3f2a90c41b7d5e68 --wait --wait-timeout 1m --endpoint 127.0.0.1:7400',
   ],
   async run(input) {
-    const asked = flagText(input.flags, 'wait-timeout') ?? STANDARD_WAIT;
-    const timeout = parseDuration(asked);
+    const text = flagText(input.flags, 'wait-timeout') ?? DEFAULT_WAIT_TIMEOUT;
+    const timeout = parseDuration(text);
     if (timeout.isNothing) {
-      const reason = `"${asked}" is not a duration`;
+      const reason = `"${text}" is not a duration`;
       const problem = { key: '--wait-timeout', reason, accepted: ACCEPTED_DURATIONS };
       return reportProblems(input.terminal, [problem]);
     }
--- a/src/cli/intent-history-command.ts
+++ b/src/cli/intent-history-command.ts
@@ -1,5 +1,5 @@
 /** `wardwing intent history`: shows the changes operators made. */
-import { askAndPrint, CLIENT_FLAGS } from './client-command.js';
+import { CLIENT_FLAGS, requestAndPrint } from './client-command.js';
 import type { Command } from './command.js';
 
 /** The command. */
@@ -10,5 +10,5 @@
   flags: CLIENT_FLAGS,
   examples: ['intent history --endpoint 127.0.0.1:7400 --json'],
   run: (input) =>
-    askAndPrint(input, { method: 'GET', path: '/v1/intents/history', body: null }, false),
+    requestAndPrint(input, { method: 'GET', path: '/v1/intents/history', body: null }, false),
 };
--- a/src/cli/intent-propose-command.ts
+++ b/src/cli/intent-propose-command.ts
@@ -3,7 +3,7 @@
 import { intentSchema } from '../intents/intent-schema.js';
 import { parseToml, readText } from '../settings/load-settings.js';
 import { checkDocument, type SchemaProblem } from '../settings/schema-problems.js';
-import { askAndPrint, CLIENT_FLAGS } from './client-command.js';
+import { CLIENT_FLAGS, requestAndPrint } from './client-command.js';
 import { type Command, reportProblems } from './command.js';
 
 /** The command. */
@@ -17,7 +17,7 @@
     const draft = readDraft(input.parameters[0] ?? '');
     if (draft.isErr) return reportProblems(input.terminal, draft.error);
     const body = { draft: draft.value };
-    return askAndPrint(input, { method: 'POST', path: '/v1/intents/propose', body }, false);
+    return requestAndPrint(input, { method: 'POST', path: '/v1/intents/propose', body }, false);
   },
 };
 
--- a/src/cli/intent-show-command.ts
+++ b/src/cli/intent-show-command.ts
@@ -1,5 +1,5 @@
 /** `wardwing intent show`: shows the intents in force at a node. */
-import { askAndPrint, CLIENT_FLAGS } from './client-command.js';
+import { CLIENT_FLAGS, requestAndPrint } from './client-command.js';
 import type { Command } from './command.js';
 
 /** The command. */
@@ -9,5 +9,5 @@
   summary: 'Show the intents in force at the node that is asked',
   flags: CLIENT_FLAGS,
   examples: ['intent show --endpoint 127.0.0.1:7400'],
-  run: (input) => askAndPrint(input, { method: 'GET', path: '/v1/intents', body: null }, false),
+  run: (input) => requestAndPrint(input, { method: 'GET', path: '/v1/intents', body: null }, false),
 };
--- a/src/cli/operator-client.ts
+++ b/src/cli/operator-client.ts
@@ -5,10 +5,10 @@
 import { MEBIBYTE } from '../core/units.js';
 
 /** Longest wait for an answer, in milliseconds; longer than a node takes to give up. */
-const ANSWER_TIMEOUT = 30_000;
+const ANSWER_TIMEOUT_MS = 30_000;
 
 /** Longest answer that is read, in bytes. */
-const LONGEST_ANSWER = 64 * MEBIBYTE;
+const MAX_ANSWER_BYTES = 64 * MEBIBYTE;
 
 /** Where a node is and who asks. */
 export interface OperatorClientOptions {
@@ -89,7 +89,7 @@
       method: request.method,
       path: request.path,
       agent: false,
-      timeout: answerTimeout ?? ANSWER_TIMEOUT,
+      timeout: answerTimeout ?? ANSWER_TIMEOUT_MS,
       headers: {
         authorization: `Bearer ${token}`,
         accept: 'application/json',
@@ -105,7 +105,7 @@
   for await (const chunk of incoming) {
     const bytes = chunk as Buffer;
     size += bytes.length;
-    if (size > LONGEST_ANSWER) throw new Error('the answer is too long');
+    if (size > MAX_ANSWER_BYTES) throw new Error('the answer is too long');
     chunks.push(bytes);
   }
   return Buffer.concat(chunks).toString('utf8');
@@ -132,6 +132,6 @@
   }
 }
 
-function textOf(value: unknown, otherwise: string): string {
-  return typeof value === 'string' ? value : otherwise;
+function textOf(value: unknown, fallback: string): string {
+  return typeof value === 'string' ? value : fallback;
 }
--- a/src/cli/program.ts
+++ b/src/cli/program.ts
@@ -58,8 +58,8 @@
 /** The command whose words the arguments start with. */
 function findCommand(words: readonly string[], commands: readonly Command[]): Command | undefined {
   return commands.find((command) => {
-    const own = command.words.split(' ');
-    return own.every((word, place) => words[place] === word);
+    const commandWords = command.words.split(' ');
+    return commandWords.every((word, index) => words[index] === word);
   });
 }
 
@@ -82,10 +82,10 @@
   }) as sade.LazyOutput | undefined;
   if (found === undefined) return undefined;
   // The library hands over the declared parameters, then an object of flags and further words.
-  const given = found.args as readonly unknown[];
-  const { _: further, ...values } = given.at(-1) as { readonly _: readonly string[] };
-  const declared = given.slice(0, -1).filter((parameter) => parameter !== undefined);
-  return { parameters: [...declared.map(String), ...further], flags: values };
+  const received = found.args as readonly unknown[];
+  const { _: extra, ...values } = received.at(-1) as { readonly _: readonly string[] };
+  const declared = received.slice(0, -1).filter((parameter) => parameter !== undefined);
+  return { parameters: [...declared.map(String), ...extra], flags: values };
 }
 
 /** Parameters are optional for the library, which would otherwise end the process itself. */
--- a/src/cli/publish-command.ts
+++ b/src/cli/publish-command.ts
@@ -1,6 +1,6 @@
 /** `wardwing publish`: announces a weight version that lies ready in the weight store. */
 import type { SchemaProblem } from '../settings/schema-problems.js';
-import { askAndPrint, CLIENT_FLAGS } from './client-command.js';
+import { CLIENT_FLAGS, requestAndPrint } from './client-command.js';
 import { type Command, reportProblems } from './command.js';
 
 /** The command. */
@@ -16,7 +16,7 @@
     if (problems.length > 0) return reportProblems(input.terminal, problems);
     const path = `/v1/models/${encodeURIComponent(model)}/versions`;
     const body = { version: Number(version), digest, bytes: Number(bytes) };
-    return askAndPrint(input, { method: 'POST', path, body }, true);
+    return requestAndPrint(input, { method: 'POST', path, body }, true);
   },
 };
 
--- a/src/cli/status-command.ts
+++ b/src/cli/status-command.ts
@@ -1,5 +1,5 @@
 /** `wardwing status`: shows the state of the fleet as a node sees it. */
-import { askAndPrint, CLIENT_FLAGS } from './client-command.js';
+import { CLIENT_FLAGS, requestAndPrint } from './client-command.js';
 import type { Command } from './command.js';
 
 /** The command. */
@@ -9,5 +9,5 @@
   summary: 'Show the zones, their nodes, and the revision in force there',
   flags: CLIENT_FLAGS,
   examples: ['status --endpoint 127.0.0.1:7400 --json'],
-  run: (input) => askAndPrint(input, { method: 'GET', path: '/v1/status', body: null }, false),
+  run: (input) => requestAndPrint(input, { method: 'GET', path: '/v1/status', body: null }, false),
 };
--- a/src/routing/admission-limits.ts
+++ b/src/routing/admission-limits.ts
@@ -1,16 +1,15 @@
-/** Limits of admission that come from the configuration. */
+/** Admission limits that the configuration sets. */
 import type { AccountName, ModelName } from '../core/identity.js';
 
-/** Limits taken from the configuration. */
 export interface AdmissionLimits {
-  /** Share of each worker's slots that training never takes, by model; 0 where absent. */
+  /** Share of each worker's slots reserved for interactive work, by model; 0 where absent. */
   readonly reservedShares: ReadonlyMap<ModelName, number>;
-  /** Weight of each trainer, above 0; 1 where absent. */
+  /** Weight of each trainer in the fair share of slots, above 0; 1 where absent. */
   readonly accountWeights: ReadonlyMap<AccountName, number>;
 }
 
-/** Limits that reserve nothing and weigh all trainers alike. */
-export const NO_LIMITS: AdmissionLimits = {
+/** Limits without a reserve and with equal weights. */
+export const DEFAULT_LIMITS: AdmissionLimits = {
   reservedShares: new Map(),
   accountWeights: new Map(),
 };
--- a/src/routing/allowed-candidates.ts
+++ b/src/routing/allowed-candidates.ts
@@ -1,7 +1,4 @@
-/**
- * Which candidates of a list run a request's model in the zones it may use. It is worked out once
- * per list, as neither changes while a list lives.
- */
+/** Filters candidate lists by model and zones, and caches the result for each list. */
 import type { ModelName, ZoneName } from '../core/identity.js';
 import type { WorkerCandidate } from './worker-candidate.js';
 
@@ -20,19 +17,19 @@
   return candidate.record.model === model && zones.includes(candidate.record.zone);
 }
 
-/** Remembers the last answer for each candidate list. */
+/** Caches the last result for each candidate list; a list never changes its members. */
 export class AllowedCandidates {
   readonly #entries = new WeakMap<readonly WorkerCandidate[], AllowedEntry>();
 
-  /** Indices of the allowed candidates. */
+  /** Indices of the candidates that run the model inside the zones. */
   indicesOf(
     candidates: readonly WorkerCandidate[],
     model: ModelName,
     zones: readonly ZoneName[],
   ): Int32Array {
-    const known = this.#entries.get(candidates);
-    if (known !== undefined && known.model === model && isSameZones(known.zones, zones)) {
-      return known.indices;
+    const cached = this.#entries.get(candidates);
+    if (cached !== undefined && cached.model === model && areSameZones(cached.zones, zones)) {
+      return cached.indices;
     }
     const indices: number[] = [];
     candidates.forEach((candidate, index) => {
@@ -44,7 +41,7 @@
   }
 }
 
-function isSameZones(left: readonly ZoneName[], right: readonly ZoneName[]): boolean {
+function areSameZones(left: readonly ZoneName[], right: readonly ZoneName[]): boolean {
   if (left.length !== right.length) return false;
   for (let at = 0; at < left.length; at += 1) if (left[at] !== right[at]) return false;
   return true;
--- a/src/routing/bounded-load-pick.ts
+++ b/src/routing/bounded-load-pick.ts
@@ -1,14 +1,14 @@
 /**
  * Consistent hashing with bounded loads (Mirrokni, Thorup and Zadimoghaddam, 2016): a key goes to
- * the first worker round the ring whose load is below a factor of the average.
+ * the first worker on the ring, clockwise, whose load is below a factor of the average.
  */
 import type { HashRing } from './hash-ring.js';
 import { candidateAt, type RoutingChoice, type RoutingPick } from './routing-policy.js';
 
-/** Candidates the arrays hold at first. */
+/** Initial length of the arrays, in candidates. */
 const INITIAL_SIZE = 128;
 
-/** Loads and capacities of one choice; the arrays are used again for the next one. */
+/** Collects loads and capacities for one choice and picks; the arrays are reused between choices. */
 export class BoundedLoadPicker {
   readonly #factor: number;
   #loads = new Float64Array(INITIAL_SIZE);
@@ -16,12 +16,12 @@
   #totalLoad = 0;
   #totalCapacity = 0;
 
-  /** @param factor how far above the average a worker may be loaded; above 1 */
+  /** @param factor largest load of a worker relative to the average; above 1 */
   constructor(factor: number) {
     this.#factor = factor;
   }
 
-  /** Starts a choice among so many candidates. */
+  /** Resets the totals and makes room for a number of candidates. */
   begin(candidateCount: number): void {
     this.#totalLoad = 0;
     this.#totalCapacity = 0;
@@ -30,7 +30,7 @@
     this.#capacities = new Float64Array(candidateCount * 2);
   }
 
-  /** Sets the load and the slots of the eligible candidate at an index; slots are above 0. */
+  /** Sets load and capacity of the eligible candidate at an index; the capacity is above 0. */
   add(index: number, load: number, capacity: number): void {
     this.#loads[index] = load;
     this.#capacities[index] = capacity;
@@ -39,8 +39,8 @@
   }
 
   /**
-   * Picks by affinity on the request's prompt group. A worker is below its bound while its load is
-   * less than `ceil(factor * average * its slots)`, the average counting the request itself.
+   * Picks by the hash of the request's prompt group. A worker is below its bound while its load is
+   * less than `ceil(factor * average * capacity)`; the average includes the request itself.
    */
   pick(choice: RoutingChoice, ring: HashRing): RoutingPick | undefined {
     const bound = (this.#factor * (this.#totalLoad + 1)) / this.#totalCapacity;
--- a/src/routing/dispatch-set.ts
+++ b/src/routing/dispatch-set.ts
@@ -1,64 +1,59 @@
-/** An ordered set of dispatches with counts by traffic class and by trainer. */
+/** An ordered set of dispatches with counts by traffic class and by account. */
 import type { TrafficClass } from '../core/generation.js';
 import type { AccountName } from '../core/identity.js';
 import type { Milliseconds } from '../core/units.js';
 
-/** One dispatch, running or queued. */
+/** One running or queued dispatch. */
 export interface Dispatch {
   readonly dispatchId: string;
   readonly account: AccountName;
   readonly trafficClass: TrafficClass;
-  /** Start of service, or arrival while it waits. */
+  /** When it started; while it is queued, when it arrived. */
   readonly startedAt: Milliseconds;
 }
 
-/** Dispatches in order of addition. */
+/** Dispatches in order of insertion. */
 export class DispatchSet {
   readonly #dispatches = new Map<string, Dispatch>();
   readonly #trainingByAccount = new Map<AccountName, number>();
   #interactive = 0;
 
-  /** Number of all dispatches. */
   get size(): number {
     return this.#dispatches.size;
   }
 
-  /** Number of interactive dispatches. */
   get interactive(): number {
     return this.#interactive;
   }
 
-  /** Number of training dispatches. */
   get training(): number {
     return this.#dispatches.size - this.#interactive;
   }
 
-  /** Training dispatches by account; accounts without any are absent. */
+  /** Number of training dispatches by account; accounts without any are absent. */
   get trainingByAccount(): ReadonlyMap<AccountName, number> {
     return this.#trainingByAccount;
   }
 
-  /** Number of training dispatches of one account. */
   trainingOf(account: AccountName): number {
     return this.#trainingByAccount.get(account) ?? 0;
   }
 
-  /** A dispatch of the set; `undefined` for another one. */
   get(dispatchId: string): Dispatch | undefined {
     return this.#dispatches.get(dispatchId);
   }
 
-  /** Identifiers in the order of addition. */
+  /** Identifiers in order of insertion. */
   ids(): readonly string[] {
     return [...this.#dispatches.keys()];
   }
 
-  /** Dispatches in the order of addition. */
+  /** Dispatches in order of insertion. */
   values(): IterableIterator<Dispatch> {
     return this.#dispatches.values();
   }
 
-  /** Adds a dispatch that is not in the set yet. */
+  /** Adds a dispatch; the set must not contain it yet. */
   add(dispatch: Dispatch): void {
     this.#dispatches.set(dispatch.dispatchId, dispatch);
     if (dispatch.trafficClass === 'interactive') {
@@ -68,7 +63,7 @@
     this.#trainingByAccount.set(dispatch.account, this.trainingOf(dispatch.account) + 1);
   }
 
-  /** Takes a dispatch out; `undefined` where it is not in the set. */
+  /** Removes and returns a dispatch; `undefined` where the set does not contain it. */
   remove(dispatchId: string): Dispatch | undefined {
     const dispatch = this.#dispatches.get(dispatchId);
     if (dispatch === undefined) return undefined;
@@ -77,13 +72,13 @@
       this.#interactive -= 1;
       return dispatch;
     }
-    const left = this.trainingOf(dispatch.account) - 1;
-    if (left === 0) this.#trainingByAccount.delete(dispatch.account);
-    else this.#trainingByAccount.set(dispatch.account, left);
+    const remaining = this.trainingOf(dispatch.account) - 1;
+    if (remaining === 0) this.#trainingByAccount.delete(dispatch.account);
+    else this.#trainingByAccount.set(dispatch.account, remaining);
     return dispatch;
   }
 
-  /** The first interactive dispatch, if any. */
+  /** The interactive dispatch inserted first. */
   firstInteractive(): Dispatch | undefined {
     if (this.#interactive === 0) return undefined;
     for (const dispatch of this.#dispatches.values()) {
@@ -92,7 +87,7 @@
     return undefined;
   }
 
-  /** The training dispatch that started last, if any. */
+  /** The training dispatch that started last. */
   youngestTraining(): Dispatch | undefined {
     let youngest: Dispatch | undefined;
     for (const dispatch of this.#dispatches.values()) {
--- a/src/routing/drain-index.ts
+++ b/src/routing/drain-index.ts
@@ -1,8 +1,8 @@
-/** Which workers the operators' drains cover. */
+/** Tells which workers are drained by operators. */
 import type { DrainRecord } from '../config-feed/configuration.js';
 import type { WorkerRecord } from '../platform/worker.js';
 
-/** An immutable index of drains; drains of nodes say nothing of workers. */
+/** An immutable index of the drains of workers and zones; drains of nodes do not affect workers. */
 export class DrainIndex {
   readonly #source: readonly DrainRecord[];
   readonly #workers: ReadonlySet<string>;
@@ -14,7 +14,7 @@
     this.#zones = namesOf(drains, 'zone');
   }
 
-  /** Whether the index was made from this very array, or both are empty. */
+  /** Whether the index was built from this array object, or both are empty. */
   isFor(drains: readonly DrainRecord[]): boolean {
     return drains === this.#source || (drains.length === 0 && this.#source.length === 0);
   }
@@ -24,7 +24,7 @@
     return this.#workers.has(record.worker) || this.#zones.has(record.zone);
   }
 
-  /** The workers that are not drained; the same array where that is all of them. */
+  /** The workers that are not drained; the same array object where there are no drains. */
   usable(records: readonly WorkerRecord[]): readonly WorkerRecord[] {
     if (this.#workers.size === 0 && this.#zones.size === 0) return records;
     return records.filter((record) => !this.covers(record));
--- a/src/routing/fair-share.ts
+++ b/src/routing/fair-share.ts
@@ -1,10 +1,10 @@
-/** Weighted max-min fairness: nobody gets more than asked, and what is left is shared by weight. */
+/** Weighted max-min fairness: no account gets more than its demand; the rest is shared by weight. */
 import type { AccountName } from '../core/identity.js';
 
-/** What one account would use, and its weight against the others. */
+/** Demand and weight of one account. */
 export interface ShareDemand {
   readonly account: AccountName;
-  /** Units asked for. */
+  /** Requested units. */
   readonly demand: number;
   /** Above 0. */
   readonly weight: number;
@@ -12,7 +12,7 @@
 
 /**
  * Shares of a capacity by progressive filling (Bertsekas and Gallager, "Data Networks", 1992):
- * the account with the least demand for its weight is served first; shares may be fractions.
+ * accounts are served in order of demand per weight, lowest first. Shares may be fractions.
  */
 export function maxMinShares(
   capacity: number,
@@ -22,13 +22,13 @@
   const order = [...demands].sort(
     (left, right) => left.demand / left.weight - right.demand / right.weight,
   );
-  let left = capacity;
-  let weightLeft = order.reduce((sum, entry) => sum + entry.weight, 0);
+  let remaining = capacity;
+  let remainingWeight = order.reduce((sum, entry) => sum + entry.weight, 0);
   for (const { account, demand, weight } of order) {
-    const share = Math.min(demand, (left * weight) / weightLeft);
+    const share = Math.min(demand, (remaining * weight) / remainingWeight);
     shares.set(account, share);
-    left -= share;
-    weightLeft -= weight;
+    remaining -= share;
+    remainingWeight -= weight;
   }
   return shares;
 }
--- a/src/routing/followed-workers.ts
+++ b/src/routing/followed-workers.ts
@@ -1,4 +1,4 @@
-/** The workers a node follows, by model and zone, and the candidate lists made of them. */
+/** The workers whose load a node follows, by model and zone, and the candidate lists built from them. */
 import {
   identityKey,
   type ModelName,
@@ -9,13 +9,13 @@
 import type { WorkerCandidate } from './worker-candidate.js';
 import type { WorkerEntry } from './worker-entry.js';
 
-/** The workers followed from one home. */
+/** Followed workers with the same home node. */
 export interface WorkersOfHome {
   readonly home: NodeIdentity;
   readonly workers: WorkerId[];
 }
 
-/** Workers followed and ejected of one model, in one zone and in all zones. */
+/** Numbers of followed and of ejected workers of one model, in one zone and in all zones. */
 export interface GroupHealth {
   readonly zoneSize: number;
   readonly zoneEjected: number;
@@ -23,7 +23,6 @@
   readonly modelEjected: number;
 }
 
-/** Records of followed workers. */
 export class FollowedWorkers {
   readonly #groups = new Map<ModelName, Map<ZoneName, readonly WorkerEntry[]>>();
   readonly #lists = new Map<string, readonly WorkerCandidate[]>();
@@ -35,7 +34,7 @@
     zones.set(zone, entries);
   }
 
-  /** How many workers of a model are followed and ejected, in one zone and in all. */
+  /** Counts the followed and the ejected workers of a model, in one zone and in all zones. */
   health(model: ModelName, zone: ZoneName): GroupHealth {
     const inZone = this.#group(model, zone);
     const inModel = [...(this.#groups.get(model)?.values() ?? [])].flat();
@@ -47,23 +46,23 @@
     };
   }
 
-  /** Workers that are not leaving; the same array object until `clearLists`. */
+  /** Workers that are not leaving; returns the same array object until `clearLists`. */
   candidates(model: ModelName, zones: readonly ZoneName[]): readonly WorkerCandidate[] {
     const key = `${model}\n${zones.join('\n')}`;
-    const known = this.#lists.get(key);
-    if (known !== undefined) return known;
+    const cached = this.#lists.get(key);
+    if (cached !== undefined) return cached;
     const entries = [...new Set(zones)].flatMap((zone) => this.#group(model, zone));
     const list = entries.filter((entry) => !entry.isLeaving);
     this.#lists.set(key, list);
     return list;
   }
 
-  /** Has candidate lists made anew, as some worker is leaving or came back. */
+  /** Invalidates the cached candidate lists after a worker entered or left the state `leaving`. */
   clearLists(): void {
     this.#lists.clear();
   }
 
-  /** Workers by the key of their home, without those whose home is the node itself. */
+  /** Workers grouped by `identityKey` of their home, without those whose home is this node. */
   byHome(self: NodeIdentity): ReadonlyMap<string, WorkersOfHome> {
     const homes = new Map<string, WorkersOfHome>();
     for (const entry of this.#entries()) {
@@ -80,7 +79,7 @@
     return this.#groups.get(model)?.get(zone) ?? [];
   }
 
-  /** Each worker once, as two wanted models may name the same zone. */
+  /** Each worker once, as two routed models may name the same zone. */
   #entries(): ReadonlySet<WorkerEntry> {
     return new Set([...this.#groups.values()].flatMap((zones) => [...zones.values()].flat()));
   }
--- a/src/routing/hash-ring.ts
+++ b/src/routing/hash-ring.ts
@@ -1,14 +1,10 @@
-/**
- * A consistent-hashing ring over a list of candidates (Karger et al., 1997), built once per list
- * and searched by bisection.
- */
+/** A consistent-hashing ring over a list of candidates (Karger et al., 1997), with binary search. */
 import { placementHash } from '../core/hashing.js';
 import type { WorkerCandidate } from './worker-candidate.js';
 
-/** Points each worker has on the ring; more points spread keys more evenly. */
+/** Points of each worker on the ring; more points spread keys more evenly. */
 const POINTS_PER_WORKER = 32;
 
-/** Positions of candidates on the hash circle. */
 export class HashRing {
   readonly #positions: Float64Array;
   readonly #owners: Int32Array;
@@ -25,12 +21,12 @@
     this.#owners = Int32Array.from(points, (point) => point.owner);
   }
 
-  /** Number of points on the ring. */
+  /** Number of points. */
   get size(): number {
     return this.#positions.length;
   }
 
-  /** The first point at or after the key's hash, going round at the end. */
+  /** Index of the first point at or after the key's hash; wraps round to 0. */
   pointOf(key: string): number {
     const target = placementHash(key);
     let low = 0;
@@ -43,20 +39,20 @@
     return low === this.size ? 0 : low;
   }
 
-  /** Index of the candidate that owns a point; points count on round the ring. */
+  /** Index of the candidate that owns a point; the point is taken modulo the size of the ring. */
   ownerOf(point: number): number {
     return this.#owners[point % this.size] ?? 0;
   }
 }
 
-/** Keeps one ring per candidate list for as long as the list lives. */
+/** Caches one ring for each candidate list, until the list is garbage-collected. */
 export class HashRingCache {
   readonly #rings = new WeakMap<readonly WorkerCandidate[], HashRing>();
 
-  /** The ring of a list; built on first use. */
+  /** The ring of a list, built on first use. */
   ringOf(candidates: readonly WorkerCandidate[]): HashRing {
-    const known = this.#rings.get(candidates);
-    if (known !== undefined) return known;
+    const cached = this.#rings.get(candidates);
+    if (cached !== undefined) return cached;
     const ring = new HashRing(candidates);
     this.#rings.set(candidates, ring);
     return ring;
--- a/src/routing/hedging-policy.ts
+++ b/src/routing/hedging-policy.ts
@@ -1,41 +1,39 @@
 /**
- * Decides which samples at the end of a step are run a second time elsewhere (Dean and Barroso,
- * "The Tail at Scale", 2013). Only the last few of a step are hedged, and only a share of it.
+ * Selects late samples at the end of a step for a second, concurrent attempt on another worker
+ * (Dean and Barroso, "The Tail at Scale", 2013).
  */
 import type { Milliseconds } from '../core/units.js';
 
-/** A sample of a step that has no result yet. */
+/** A sample without a result. */
 export interface PendingSample {
   readonly key: string;
-  /** When its oldest running attempt was dispatched; `undefined` while none runs. */
+  /** When the oldest running attempt was dispatched; `undefined` while none is running. */
   readonly startedAt: Milliseconds | undefined;
-  /** Attempts running now. */
+  /** Number of running attempts. */
   readonly attempts: number;
-  /** Time the sample was expected to take; `undefined` where there is no prediction. */
+  /** Predicted duration; `undefined` where there is no prediction. */
   readonly expected: Milliseconds | undefined;
 }
 
-/** Where a step stands. */
+/** Progress of one step. */
 export interface StepProgress {
   readonly sampleCount: number;
   readonly pending: readonly PendingSample[];
-  /** Typical (median) time of the step's finished samples; `undefined` while none finished. */
+  /** Median duration of the finished samples; `undefined` while none has finished. */
   readonly typicalDuration: Milliseconds | undefined;
-  /** Second attempts made in this step so far. */
+  /** Number of hedged samples of the step so far. */
   readonly hedgesMade: number;
 }
 
-/** Settings of hedging. */
 export interface HedgingOptions {
-  /** Share of a step that may be pending when hedging begins; default 0.02. */
+  /** Largest share of pending samples at which hedging begins; default 0.02. */
   readonly tailShare?: number;
-  /** Share of a step that may be hedged; default 0.02. */
+  /** Largest share of samples that are hedged; default 0.02. */
   readonly hedgeShare?: number;
-  /** A sample is late at this multiple of its expected time; default 1.5. */
+  /** A sample is late after this multiple of its expected duration; default 1.5. */
   readonly lateness?: number;
 }
 
-/** Chooses samples to hedge. */
 export class HedgingPolicy {
   readonly #tailShare: number;
   readonly #hedgeShare: number;
@@ -47,12 +45,12 @@
     this.#lateness = options.lateness ?? 1.5;
   }
 
-  /** Whether so few samples of a step are pending that late ones may be hedged. */
+  /** Whether the number of pending samples is low enough for hedging. */
   isTail(sampleCount: number, pendingCount: number): boolean {
     return pendingCount <= Math.max(1, Math.floor(sampleCount * this.#tailShare));
   }
 
-  /** Keys of samples to be run once more now, the latest first. Samples must be repeatable. */
+  /** Keys of the samples to hedge now, the most overdue first. All samples must be repeatable. */
   samplesToHedge(step: StepProgress, now: Milliseconds): readonly string[] {
     if (!this.isTail(step.sampleCount, step.pending.length)) return [];
     const budget = Math.max(1, Math.floor(step.sampleCount * this.#hedgeShare)) - step.hedgesMade;
@@ -65,7 +63,7 @@
       .map((entry) => entry.key);
   }
 
-  /** Time a sample is past being late; 0 or less where it is not late or runs twice already. */
+  /** How long the sample has been late; 0 or less where it is not late or already hedged. */
   #excess(sample: PendingSample, step: StepProgress, now: Milliseconds): Milliseconds {
     const expected = sample.expected ?? step.typicalDuration;
     if (sample.startedAt === undefined || sample.attempts !== 1 || expected === undefined) return 0;
--- a/src/routing/home-admission.ts
+++ b/src/routing/home-admission.ts
@@ -1,57 +1,55 @@
 /**
- * Admission at a worker's home: which generations start, wait in a short queue, or are refused at
- * once as not run. Interactive work has a reserve and preempts; trainers share by weight.
+ * Admission control at a worker's home node: a generation starts, waits in a short queue, or is
+ * refused at once. Interactive work preempts training; trainers share slots by weight.
  */
 import type { GenerationRequest } from '../core/generation.js';
 import type { WorkerId } from '../core/identity.js';
 import type { Milliseconds } from '../core/units.js';
 import { type Failure, failure } from '../errors/error-kinds.js';
 import type { WorkerRecord } from '../platform/worker.js';
-import { type AdmissionLimits, NO_LIMITS } from './admission-limits.js';
+import { type AdmissionLimits, DEFAULT_LIMITS } from './admission-limits.js';
 import type { Dispatch } from './dispatch-set.js';
 import type { OutstandingCounts } from './worker-candidate.js';
 import { WorkerSlots } from './worker-slots.js';
 
-/** One dispatch that asks to be started. */
+/** A dispatch to be admitted. */
 export interface AdmissionRequest {
   readonly dispatchId: string;
   readonly request: GenerationRequest;
   readonly worker: WorkerRecord;
 }
 
-/** The answer to an admission request. */
 export type AdmissionResult =
   | {
-      /** Start it now; first cancel the training dispatch named by `preempt`, if any. */
+      /** The caller starts it, after cancelling the training dispatch named by `preempt`. */
       readonly kind: 'admitted';
       readonly preempt: string | null;
     }
-  /** It waits, or was admitted before; `release` names it once it may start. */
+  /** It waits until `release` names it, or it was admitted before. */
   | { readonly kind: 'queued' }
-  /** Nothing ran, and nothing is kept of it. */
+  /** Nothing ran, and no state is stored for it. */
   | { readonly kind: 'refused'; readonly failure: Failure };
 
-/** Settings of the admission. */
 export interface HomeAdmissionOptions {
-  /** Generations running at once, as a multiple of the worker's slots; default 1. */
+  /** Limit of running generations, as a multiple of the worker's slots; default 1. */
   readonly runningFactor?: number;
-  /** Queue places as a multiple of the worker's slots, at least one place; default 0.25. */
+  /** Queue length as a multiple of the worker's slots, at least 1; default 0.25. */
   readonly queueFactor?: number;
-  /** Whether a worker takes no new work; default: none is leaving. */
+  /** Whether a worker accepts no new work; default: never. */
   readonly isLeaving?: (worker: WorkerId) => boolean;
 }
 
-/** When to come back where the worker is leaving: at once, by way of another worker. */
-const LEAVING_RETRY: Milliseconds = 100;
+/** Short, as the retry goes to another worker. */
+const LEAVING_RETRY_DELAY: Milliseconds = 100;
 
-/** Counts and bounds what is outstanding on the workers of one home. */
+/** Limits the outstanding generations of the workers whose home is this node. */
 export class HomeAdmission {
   readonly #runningFactor: number;
   readonly #queueFactor: number;
   readonly #isLeaving: (worker: WorkerId) => boolean;
-  readonly #workers = new Map<WorkerId, WorkerSlots>();
-  readonly #workerOf = new Map<string, WorkerSlots>();
-  #limits: AdmissionLimits = NO_LIMITS;
+  readonly #slotsByWorker = new Map<WorkerId, WorkerSlots>();
+  readonly #slotsByDispatch = new Map<string, WorkerSlots>();
+  #limits: AdmissionLimits = DEFAULT_LIMITS;
 
   constructor(options: HomeAdmissionOptions = {}) {
     this.#runningFactor = options.runningFactor ?? 1;
@@ -59,17 +57,17 @@
     this.#isLeaving = options.isLeaving ?? (() => false);
   }
 
-  /** Takes over new limits; what runs already is left alone. */
+  /** Applies new limits; running dispatches are not affected. */
   updateLimits(limits: AdmissionLimits): void {
     this.#limits = limits;
-    for (const slots of this.#workers.values()) slots.updateLimits(limits);
+    for (const slots of this.#slotsByWorker.values()) slots.updateLimits(limits);
   }
 
-  /** Decides at once whether a dispatch starts, waits or is refused. */
+  /** Decides whether a dispatch starts, waits or is refused. */
   admit(admission: AdmissionRequest, now: Milliseconds): AdmissionResult {
     const { dispatchId, request, worker } = admission;
-    if (this.#workerOf.has(dispatchId)) return { kind: 'queued' };
-    if (this.#isLeaving(worker.worker)) return refused(worker, 'is leaving', LEAVING_RETRY);
+    if (this.#slotsByDispatch.has(dispatchId)) return { kind: 'queued' };
+    if (this.#isLeaving(worker.worker)) return refused(worker, 'is leaving', LEAVING_RETRY_DELAY);
     const slots = this.#slotsOf(worker);
     const dispatch: Dispatch = {
       dispatchId,
@@ -79,49 +77,49 @@
     };
     const result = slots.admit(dispatch);
     if (result.kind === 'refused') {
-      this.#forgetIfIdle(slots);
+      this.#removeIfIdle(slots);
       return refused(worker, 'is full', result.retryAfter);
     }
-    this.#workerOf.set(dispatchId, slots);
+    this.#slotsByDispatch.set(dispatchId, slots);
     if (result.kind === 'queued') return result;
-    if (result.preempt !== null) this.#workerOf.delete(result.preempt);
+    if (result.preempt !== null) this.#slotsByDispatch.delete(result.preempt);
     return result;
   }
 
   /**
-   * Ends a dispatch, running or queued, and names the queued ones that start now. Releasing one
-   * that is not held, such as a preempted one, does nothing.
+   * Removes a running or queued dispatch and returns the identifiers of the queued ones that start
+   * now. An unknown dispatch, such as a preempted one, is ignored.
    */
   release(dispatchId: string, now: Milliseconds): readonly string[] {
-    const slots = this.#workerOf.get(dispatchId);
+    const slots = this.#slotsByDispatch.get(dispatchId);
     if (slots === undefined) return [];
-    this.#workerOf.delete(dispatchId);
+    this.#slotsByDispatch.delete(dispatchId);
     const started = slots.release(dispatchId, now);
-    this.#forgetIfIdle(slots);
+    this.#removeIfIdle(slots);
     return started;
   }
 
-  /** Whether a dispatch is running, waiting or not held here. */
+  /** State of a dispatch; `absent` for an unknown one. */
   stateOf(dispatchId: string): 'running' | 'queued' | 'absent' {
-    return this.#workerOf.get(dispatchId)?.stateOf(dispatchId) ?? 'absent';
+    return this.#slotsByDispatch.get(dispatchId)?.stateOf(dispatchId) ?? 'absent';
   }
 
-  /** What is outstanding on a worker, to be published by the directory. */
+  /** Outstanding work of a worker, for the directory to publish. */
   counts(worker: WorkerRecord): OutstandingCounts {
-    const slots = this.#workers.get(worker.worker);
+    const slots = this.#slotsByWorker.get(worker.worker);
     return (slots ?? this.#createSlots(worker)).counts();
   }
 
-  /** Ids of all dispatches held for a worker, queued ones included. */
+  /** Identifiers of the running and queued dispatches of a worker. */
   dispatchesOf(worker: WorkerId): readonly string[] {
-    return this.#workers.get(worker)?.dispatchIds() ?? [];
+    return this.#slotsByWorker.get(worker)?.dispatchIds() ?? [];
   }
 
   #slotsOf(worker: WorkerRecord): WorkerSlots {
-    const known = this.#workers.get(worker.worker);
+    const known = this.#slotsByWorker.get(worker.worker);
     if (known !== undefined) return known;
     const slots = this.#createSlots(worker);
-    this.#workers.set(worker.worker, slots);
+    this.#slotsByWorker.set(worker.worker, slots);
     return slots;
   }
 
@@ -134,10 +132,10 @@
     });
   }
 
-  /** Workers without any work are kept while their observed service time is of use. */
-  #forgetIfIdle(slots: WorkerSlots): void {
+  /** An idle worker is removed only when it is leaving, so that its service-time average is not lost. */
+  #removeIfIdle(slots: WorkerSlots): void {
     if (slots.isIdle && this.#isLeaving(slots.worker.worker)) {
-      this.#workers.delete(slots.worker.worker);
+      this.#slotsByWorker.delete(slots.worker.worker);
     }
   }
 }
--- a/src/routing/home-counting-policy.ts
+++ b/src/routing/home-counting-policy.ts
@@ -1,6 +1,6 @@
 /**
- * The default policy: prefix affinity with bounded load over what the workers' homes count as
- * outstanding plus what this node sent since, with slow start for workers that returned.
+ * The default policy: prefix affinity with bounded load. The load is the outstanding count of the
+ * worker's home plus the dispatches sent since; workers that return get a slow start.
  */
 import { BoundedLoadPicker } from './bounded-load-pick.js';
 import { HashRingCache } from './hash-ring.js';
@@ -10,7 +10,7 @@
 /** Name of the default policy. */
 export const HOME_COUNTING = 'home-counting';
 
-/** How far above the average a worker may be loaded. */
+/** Largest load of a worker relative to the average. */
 const LOAD_FACTOR = 1.15;
 
 /** Creates the policy `home-counting`. */
--- a/src/routing/home-loads.ts
+++ b/src/routing/home-loads.ts
@@ -1,4 +1,4 @@
-/** The part of a node's directory that acts as home: reports and counts in, pushed loads out. */
+/** Load of the workers whose home is this node: collects reports and counts, and publishes the load. */
 import type { NodeIdentity, WorkerId } from '../core/identity.js';
 import type { RandomSource } from '../core/random.js';
 import type { Milliseconds } from '../core/units.js';
@@ -10,7 +10,6 @@
 import type { WorkerEntries } from './worker-entries.js';
 import type { WorkerEntry } from './worker-entry.js';
 
-/** Settings of the home part. */
 export interface HomeLoadsOptions {
   readonly random: RandomSource;
   readonly entries: WorkerEntries;
@@ -18,10 +17,9 @@
   readonly isHome: (worker: WorkerId) => boolean;
   readonly pollInterval: Milliseconds;
   readonly pushInterval: Milliseconds;
-  readonly subscriptionLife: Milliseconds;
+  readonly subscriptionTimeout: Milliseconds;
 }
 
-/** Loads of the workers whose home this node is. */
 export class HomeLoads {
   readonly #entries: WorkerEntries;
   readonly #isHome: (worker: WorkerId) => boolean;
@@ -29,33 +27,30 @@
   readonly #publisher: LoadPublisher;
 
   constructor(options: HomeLoadsOptions) {
-    const { random, pollInterval, pushInterval, subscriptionLife } = options;
+    const { random, pollInterval, pushInterval, subscriptionTimeout } = options;
     this.#entries = options.entries;
     this.#isHome = options.isHome;
     this.#workers = new HomeWorkers({ random, pollInterval });
     this.#publisher = new LoadPublisher({
       pushInterval,
-      subscriptionLife,
+      subscriptionTimeout,
       loadOf: (worker, now) => this.#loadOf(worker, now),
     });
   }
 
-  /** Records of the workers. */
   get workers(): readonly WorkerRecord[] {
     return this.#workers.workers;
   }
 
-  /** Sets the workers. */
   replace(records: readonly WorkerRecord[], now: Milliseconds): void {
     this.#workers.replace(records, now);
   }
 
-  /** The last report of a worker. */
   reportOf(worker: WorkerId): WorkerReport | undefined {
     return this.#workers.report(worker);
   }
 
-  /** Takes in a subscription; the answer is a push. */
+  /** Handles a subscription; returns the push that answers it. */
   subscribe(
     from: NodeIdentity,
     workers: readonly WorkerId[],
@@ -65,57 +60,55 @@
     return this.#publisher.subscribe(from, workers, lastSequence, now);
   }
 
-  /** Takes in an engine's report of itself. */
-  takeReport(report: WorkerReport, now: Milliseconds): void {
+  /** Applies the report of an engine. */
+  recordReport(report: WorkerReport, now: Milliseconds): void {
     const entry = this.#ownEntry(report.worker);
     if (entry === undefined) return;
-    this.#workers.answered(report, now);
+    this.#workers.recordReport(report, now);
     entry.health = 'healthy';
-    entry.takeReport(report, now);
+    entry.applyReport(report, now);
     this.#entries.refresh(entry, now);
     this.publishIfChanged(entry, now);
   }
 
-  /** Takes in that a poll failed. */
-  takeFailedPoll(worker: WorkerId, now: Milliseconds): void {
+  recordFailedPoll(worker: WorkerId, now: Milliseconds): void {
     const entry = this.#ownEntry(worker);
-    if (entry !== undefined && this.#workers.failed(worker)) this.#setUnreachable(entry, now);
+    if (entry !== undefined && this.#workers.recordFailure(worker))
+      this.#setUnreachable(entry, now);
   }
 
-  /** Takes in the counts of admission. */
-  takeCounts(worker: WorkerId, counts: OutstandingCounts, now: Milliseconds): void {
+  /** Applies the counts of the admission control. */
+  recordCounts(worker: WorkerId, counts: OutstandingCounts, now: Milliseconds): void {
     const entry = this.#ownEntry(worker);
     if (entry === undefined) return;
-    entry.takeCounts(counts);
+    entry.applyCounts(counts);
     this.publishIfChanged(entry, now);
   }
 
-  /** Has a worker's load pushed if it differs enough from what was pushed last. */
+  /** Schedules a push of the worker's load if it differs enough from the published one. */
   publishIfChanged(entry: WorkerEntry, now: Milliseconds): void {
-    if (this.#workers.noteLoad(entry.toLoad(now), entry.slots)) {
+    if (this.#workers.updatePublished(entry.toLoad(now), entry.slots)) {
       this.#publisher.markChanged(entry.record.worker);
     }
   }
 
-  /** Has a worker's load pushed because its state changed here. */
+  /** Schedules a push of the worker's load after a change of its state. */
   noteStateChange(worker: WorkerId): void {
     if (this.#isHome(worker)) this.#publisher.markChanged(worker);
   }
 
-  /** Workers to be polled now. */
   duePolls(now: Milliseconds): readonly WorkerRecord[] {
     return this.#workers.duePolls(now);
   }
 
-  /** Pushes that are due. */
   duePushes(now: Milliseconds): readonly LoadPush[] {
-    return this.#publisher.tick(now);
+    return this.#publisher.duePushes(now);
   }
 
-  /** Forgets old subscriptions, and notes workers that stopped answering. */
+  /** Removes expired subscriptions and marks unresponsive workers as unreachable. */
   sweep(now: Milliseconds): void {
     this.#publisher.expire(now);
-    for (const worker of this.#workers.silent(now)) {
+    for (const worker of this.#workers.unresponsive(now)) {
       const entry = this.#ownEntry(worker);
       if (entry !== undefined && entry.health !== 'unreachable') this.#setUnreachable(entry, now);
     }
--- a/src/routing/home-workers.ts
+++ b/src/routing/home-workers.ts
@@ -1,14 +1,13 @@
-/** The workers whose home this node is: when to poll them, and what they last said. */
+/** Polling schedule and last report of the workers whose home is this node. */
 import type { WorkerId } from '../core/identity.js';
 import type { RandomSource } from '../core/random.js';
 import type { Milliseconds } from '../core/units.js';
 import type { WorkerRecord, WorkerReport } from '../platform/worker.js';
 import type { WorkerLoad } from './messages.js';
 
-/** Settings of polling. */
 export interface HomeWorkersOptions {
   readonly random: RandomSource;
-  /** Time between two polls of one worker. */
+  /** Interval between polls of one worker. */
   readonly pollInterval: Milliseconds;
 }
 
@@ -21,16 +20,15 @@
   published: WorkerLoad | undefined;
 }
 
-/** Failed polls in a row that make a worker unreachable. */
-const UNREACHABLE_FAILURES = 2;
+/** Consecutive failed polls. */
+const UNREACHABLE_AFTER_FAILURES = 2;
 
-/** Time without an answer to any poll after which a worker is silent. */
-const SILENCE_LIMIT: Milliseconds = 2_000;
+/** Time since the last answered poll. */
+const UNRESPONSIVE_AFTER: Milliseconds = 2_000;
 
-/** Counts are published when they move by this share of the slots, or across full. */
-const PUBLISHED_STEP = 1 / 8;
+/** Counts are published after a change of at least this share of the slots. */
+const PUBLISH_THRESHOLD_SHARE = 1 / 8;
 
-/** Polling state of this node's own workers. */
 export class HomeWorkers {
   readonly #options: HomeWorkersOptions;
   readonly #workers = new Map<WorkerId, HomeWorker>();
@@ -40,12 +38,11 @@
     this.#options = options;
   }
 
-  /** Records of the workers. */
   get workers(): readonly WorkerRecord[] {
     return this.#records;
   }
 
-  /** Sets the workers; first polls of new ones are spread over one interval. */
+  /** Sets the workers; the first polls of new ones are spread over one interval. */
   replace(records: readonly WorkerRecord[], now: Milliseconds): void {
     this.#records = records;
     const names = new Set(records.map((record) => record.worker));
@@ -57,7 +54,7 @@
     }
   }
 
-  /** Workers to be polled now. */
+  /** Workers whose poll is due; schedules their next one. */
   duePolls(now: Milliseconds): readonly WorkerRecord[] {
     const due: WorkerRecord[] = [];
     for (const worker of this.#workers.values()) {
@@ -68,8 +65,7 @@
     return due;
   }
 
-  /** Takes in the answer to a poll. */
-  answered(report: WorkerReport, now: Milliseconds): void {
+  recordReport(report: WorkerReport, now: Milliseconds): void {
     const worker = this.#workers.get(report.worker);
     if (worker === undefined) return;
     worker.report = report;
@@ -77,33 +73,33 @@
     worker.answeredAt = now;
   }
 
-  /** Takes in a failed poll; true where the worker counts as unreachable. */
-  failed(name: WorkerId): boolean {
+  /** Counts a failed poll; returns whether the worker is unreachable. */
+  recordFailure(name: WorkerId): boolean {
     const worker = this.#workers.get(name);
     if (worker === undefined) return false;
     worker.failures += 1;
-    return worker.failures >= UNREACHABLE_FAILURES;
+    return worker.failures >= UNREACHABLE_AFTER_FAILURES;
   }
 
-  /** Workers that have answered none of the last polls, whether or not these failed. */
-  silent(now: Milliseconds): readonly WorkerId[] {
-    const silent: WorkerId[] = [];
+  /** Workers that have not answered a poll for too long; their polls may be pending. */
+  unresponsive(now: Milliseconds): readonly WorkerId[] {
+    const unresponsive: WorkerId[] = [];
     for (const [name, worker] of this.#workers) {
-      if (now - worker.answeredAt > SILENCE_LIMIT) silent.push(name);
+      if (now - worker.answeredAt > UNRESPONSIVE_AFTER) unresponsive.push(name);
     }
-    return silent;
+    return unresponsive;
   }
 
-  /** The last report of a worker. */
   report(name: WorkerId): WorkerReport | undefined {
     return this.#workers.get(name)?.report;
   }
 
-  /** Whether a load differs enough from the published one; then it becomes the published one. */
-  noteLoad(load: WorkerLoad, slots: number): boolean {
+  /** Stores the load as published and returns true if it differs enough from the published one. */
+  updatePublished(load: WorkerLoad, slots: number): boolean {
     const worker = this.#workers.get(load.worker);
     if (worker === undefined) return false;
-    if (worker.published !== undefined && !isNews(worker.published, load, slots)) return false;
+    if (worker.published !== undefined && !isSignificantChange(worker.published, load, slots))
+      return false;
     worker.published = load;
     return true;
   }
@@ -121,12 +117,12 @@
   }
 }
 
-function isNews(before: WorkerLoad, after: WorkerLoad, slots: number): boolean {
+function isSignificantChange(before: WorkerLoad, after: WorkerLoad, slots: number): boolean {
   if (before.activeVersion !== after.activeVersion) return true;
   if (before.leaving !== after.leaving || before.health !== after.health) return true;
   if ((before.queueFree === 0) !== (after.queueFree === 0)) return true;
   if (before.loadedVersions.join() !== after.loadedVersions.join()) return true;
-  const step = Math.max(1, Math.floor(slots * PUBLISHED_STEP));
+  const step = Math.max(1, Math.floor(slots * PUBLISH_THRESHOLD_SHARE));
   return (
     Math.abs(before.outstanding - after.outstanding) >= step ||
     Math.abs(before.interactiveOutstanding - after.interactiveOutstanding) >= step ||
--- a/src/routing/least-lagged-load-policy.ts
+++ b/src/routing/least-lagged-load-policy.ts
@@ -1,11 +1,11 @@
 /**
- * Baseline policy: the lowest load the engines report of themselves. The reports lag, so senders
- * tend to choose the same worker until the next report.
+ * Baseline policy: the lowest load in the engines' reports. The reports lag, so senders tend to
+ * choose the same worker until the next report.
  */
 import type { RandomSource } from '../core/random.js';
 import { candidateAt, type RoutingPolicy } from './routing-policy.js';
 
-/** Creates the policy `least-lagged-load`; ties go to the first after a random start. */
+/** Creates the policy `least-lagged-load`; the scan starts at random, and the first of a tie wins. */
 export function createLeastLaggedLoadPolicy(random: RandomSource): RoutingPolicy {
   return {
     name: 'least-lagged-load',
--- a/src/routing/length-predictor.ts
+++ b/src/routing/length-predictor.ts
@@ -1,36 +1,32 @@
-/**
- * Predicts how many tokens a sample will take from the finished samples of its prompt group, so
- * that the longest of a step can start first.
- */
+/** Predicts the length of samples from finished samples of the same prompt group. */
 import type { GenerationRequest } from '../core/generation.js';
 import type { ModelName } from '../core/identity.js';
 import type { TokenCount } from '../core/units.js';
 
-/** What a prediction needs to know of a sample. */
+/** The fields of a sample that a prediction uses. */
 export type PredictedRequest = Pick<GenerationRequest, 'model' | 'promptGroup' | 'maxTokens'>;
 
-/** Settings of the predictor. */
 export interface LengthPredictorOptions {
-  /** Groups remembered; the one unused for longest is forgotten first; default 20,000. */
+  /** Limit of stored groups; the least recently recorded is evicted; default 20,000. */
   readonly maximumGroups?: number;
 }
 
-/** A moving average of lengths. */
+/** An exponential moving average of lengths. */
 interface LengthAverage {
   tokens: number;
   observations: number;
 }
 
-/** Weight of one new length once the average has settled. */
+/** Weight of a new length in the moving average; larger for the first observations. */
 const SMOOTHING = 0.2;
 
-/** Share of the token limit that is expected while nothing at all is known. */
-const UNKNOWN_SHARE = 0.5;
+/** Predicted share of the token limit while there are no observations. */
+const DEFAULT_LENGTH_SHARE = 0.5;
 
-/** How many observations the average of the model counts for in a group's prediction. */
+/** Weight of the model's average in the prediction for a group, in observations. */
 const PRIOR_WEIGHT = 1;
 
-/** Lengths by prompt group and, for groups not seen yet, by model. */
+/** Average lengths by prompt group, with the average of the model as prior. */
 export class LengthPredictor {
   readonly #maximumGroups: number;
   readonly #groups = new Map<string, LengthAverage>();
@@ -40,7 +36,7 @@
     this.#maximumGroups = options.maximumGroups ?? 20_000;
   }
 
-  /** Takes in the length of a finished sample. */
+  /** Records the length of a finished sample. */
   record(request: PredictedRequest, tokens: TokenCount): void {
     this.#models.set(request.model, observe(this.#models.get(request.model), tokens));
     const key = groupKeyOf(request);
@@ -52,10 +48,10 @@
     if (!oldest.done) this.#groups.delete(oldest.value);
   }
 
-  /** Tokens a sample is expected to take, at most its limit. */
+  /** Predicted number of tokens, at most `maxTokens`. */
   predict(request: PredictedRequest): TokenCount {
     const model = this.#models.get(request.model);
-    const prior = model === undefined ? request.maxTokens * UNKNOWN_SHARE : model.tokens;
+    const prior = model === undefined ? request.maxTokens * DEFAULT_LENGTH_SHARE : model.tokens;
     const group = this.#groups.get(groupKeyOf(request));
     if (group === undefined) return Math.min(request.maxTokens, prior);
     const weight = group.observations + PRIOR_WEIGHT;
@@ -63,7 +59,7 @@
     return Math.min(request.maxTokens, blended);
   }
 
-  /** The samples with the longest prediction first; equal ones keep their order. */
+  /** Sorts samples by predicted length, longest first; the sort is stable. */
   longestFirst<Item extends PredictedRequest>(requests: readonly Item[]): readonly Item[] {
     const scored = requests.map((request) => ({ request, tokens: this.predict(request) }));
     scored.sort((left, right) => right.tokens - left.tokens);
--- a/src/routing/load-publisher.ts
+++ b/src/routing/load-publisher.ts
@@ -1,24 +1,23 @@
 /**
- * Home side of load distribution: keeps subscriptions with a limited life and pushes each
- * subscriber the loads that changed, no more often than an interval.
+ * Publishes the load of workers from their home node: stores subscriptions that expire, and pushes
+ * changed loads to each subscriber at a limited rate.
  */
 import { identityKey, type NodeIdentity, type WorkerId } from '../core/identity.js';
 import type { Milliseconds } from '../core/units.js';
 import type { WorkerLoad, WorkerViewMessage } from './messages.js';
 
-/** A message on its way to a subscriber. */
+/** A message to be sent to a node. */
 export interface LoadPush {
   readonly to: NodeIdentity;
   readonly message: WorkerViewMessage;
 }
 
-/** Settings of the publisher. */
 export interface LoadPublisherOptions {
-  /** Shortest time between two pushes to one subscriber. */
+  /** Minimum interval between pushes to one subscriber. */
   readonly pushInterval: Milliseconds;
-  /** How long a subscription lives without renewal. */
-  readonly subscriptionLife: Milliseconds;
-  /** The present load of a worker; `undefined` where this node is not its home. */
+  /** Time after which a subscription expires without renewal. */
+  readonly subscriptionTimeout: Milliseconds;
+  /** The current load of a worker; `undefined` where this node is not its home. */
   readonly loadOf: (worker: WorkerId, now: Milliseconds) => WorkerLoad | undefined;
 }
 
@@ -31,7 +30,6 @@
   readonly changed: Set<WorkerId>;
 }
 
-/** Pushes loads to the nodes that subscribed. */
 export class LoadPublisher {
   readonly #options: LoadPublisherOptions;
   readonly #subscribers = new Map<string, Subscriber>();
@@ -42,12 +40,12 @@
     this.#options = options;
   }
 
-  /** Number of live subscriptions. */
+  /** Number of subscriptions. */
   get subscriberCount(): number {
     return this.#subscribers.size;
   }
 
-  /** Takes in a subscription or its renewal and answers it: all loads, or a keep-alive. */
+  /** Adds, renews or (without workers) removes a subscription; answers with all loads or a keep-alive. */
   subscribe(
     from: NodeIdentity,
     workers: readonly WorkerId[],
@@ -61,7 +59,7 @@
     }
     const known = this.#subscribers.get(key);
     const subscriber = known ?? this.#add(key, from);
-    subscriber.expiresAt = now + this.#options.subscriptionLife;
+    subscriber.expiresAt = now + this.#options.subscriptionTimeout;
     const sameWorkers = this.#replaceWorkers(subscriber, workers);
     const upToDate = known !== undefined && sameWorkers && subscriber.sequence === lastSequence;
     if (upToDate) return this.#push(subscriber, [], false, now);
@@ -70,7 +68,7 @@
     return this.#push(subscriber, subscriber.workers, true, now);
   }
 
-  /** Notes that a worker's load changed. */
+  /** Schedules a push of the worker's load to its subscribers. */
   markChanged(worker: WorkerId): void {
     for (const subscriber of this.#subscribersOf.get(worker) ?? []) {
       subscriber.changed.add(worker);
@@ -78,8 +76,8 @@
     }
   }
 
-  /** Pushes that are due. */
-  tick(now: Milliseconds): readonly LoadPush[] {
+  /** Pushes whose minimum interval has elapsed. */
+  duePushes(now: Milliseconds): readonly LoadPush[] {
     const pushes: LoadPush[] = [];
     for (const subscriber of this.#pending) {
       if (now - subscriber.pushedAt < this.#options.pushInterval) continue;
@@ -91,7 +89,7 @@
     return pushes;
   }
 
-  /** Forgets subscriptions that were not renewed. */
+  /** Removes expired subscriptions. */
   expire(now: Milliseconds): void {
     for (const [key, subscriber] of this.#subscribers) {
       if (subscriber.expiresAt <= now) this.#remove(key);
--- a/src/routing/load-subscriptions.ts
+++ b/src/routing/load-subscriptions.ts
@@ -1,14 +1,13 @@
-/** Subscriber side of load distribution: one renewed subscription per home node. */
+/** Subscribes to the load of workers: one subscription at each home node, renewed periodically. */
 import { identityKey, type NodeIdentity, type WorkerId } from '../core/identity.js';
 import type { RandomSource } from '../core/random.js';
 import type { Milliseconds } from '../core/units.js';
 import type { WorkersOfHome } from './followed-workers.js';
 import type { LoadPush } from './load-publisher.js';
 
-/** Settings of the subscriptions. */
 export interface LoadSubscriptionsOptions {
   readonly random: RandomSource;
-  /** Longest time between two renewals; each is drawn from the upper fifth below it. */
+  /** Maximum interval between renewals; each interval is jittered below it. */
   readonly renewInterval: Milliseconds;
 }
 
@@ -19,10 +18,9 @@
   renewAt: Milliseconds;
 }
 
-/** Renewals come after at least this share of the interval. */
-const EARLIEST_RENEWAL = 0.8;
+/** Minimum share of the renewal interval after jitter. */
+const MIN_RENEWAL_SHARE = 0.8;
 
-/** Subscriptions of one node at the homes of the workers of its subsets. */
 export class LoadSubscriptions {
   readonly #options: LoadSubscriptionsOptions;
   readonly #subscriptions = new Map<string, Subscription>();
@@ -31,23 +29,23 @@
     this.#options = options;
   }
 
-  /** Number of homes subscribed at. */
+  /** Number of subscribed homes. */
   get homeCount(): number {
     return this.#subscriptions.size;
   }
 
-  /** Sets which workers are wanted from which homes; returns messages that end subscriptions. */
-  replace(wanted: ReadonlyMap<string, WorkersOfHome>, now: Milliseconds): readonly LoadPush[] {
-    const ended: LoadPush[] = [];
+  /** Sets the followed workers by home; returns the messages that cancel obsolete subscriptions. */
+  replace(required: ReadonlyMap<string, WorkersOfHome>, now: Milliseconds): readonly LoadPush[] {
+    const cancellations: LoadPush[] = [];
     for (const [key, subscription] of this.#subscriptions) {
-      if (wanted.has(key)) continue;
+      if (required.has(key)) continue;
       this.#subscriptions.delete(key);
-      ended.push({
+      cancellations.push({
         to: subscription.home,
         message: { kind: 'subscribe', workers: [], lastSequence: 0 },
       });
     }
-    for (const [key, { home, workers }] of wanted) {
+    for (const [key, { home, workers }] of required) {
       const known = this.#subscriptions.get(key);
       if (known === undefined) {
         this.#subscriptions.set(key, { home, workers, lastSequence: 0, renewAt: now });
@@ -56,22 +54,22 @@
         known.renewAt = now;
       }
     }
-    return ended;
+    return cancellations;
   }
 
-  /** Whether this node subscribed at a home. */
+  /** Whether this node has a subscription at the home. */
   has(home: NodeIdentity): boolean {
     return this.#subscriptions.has(identityKey(home));
   }
 
-  /** Workers subscribed at a home. */
+  /** Workers in the subscription at a home. */
   workersAt(home: NodeIdentity): readonly WorkerId[] {
     return this.#subscriptions.get(identityKey(home))?.workers ?? [];
   }
 
   /**
-   * Takes in the sequence number of a home's message; false for one that a later message overtook.
-   * A gap asks for everything again at once.
+   * Checks the sequence number of a home's message; false for an outdated one, which the caller
+   * drops. A gap makes the renewal due at once, which requests all loads.
    */
   accept(
     home: NodeIdentity,
@@ -91,14 +89,14 @@
     return true;
   }
 
-  /** Renewals that are due. */
-  tick(now: Milliseconds): readonly LoadPush[] {
+  /** Renewals that are due; schedules the next ones. */
+  dueRenewals(now: Milliseconds): readonly LoadPush[] {
     const renewals: LoadPush[] = [];
     for (const subscription of this.#subscriptions.values()) {
       if (subscription.renewAt > now) continue;
       const { home, workers, lastSequence } = subscription;
       renewals.push({ to: home, message: { kind: 'subscribe', workers, lastSequence } });
-      const spread = EARLIEST_RENEWAL + (1 - EARLIEST_RENEWAL) * this.#options.random.fraction();
+      const spread = MIN_RENEWAL_SHARE + (1 - MIN_RENEWAL_SHARE) * this.#options.random.fraction();
       subscription.renewAt = now + this.#options.renewInterval * spread;
     }
     return renewals;
--- a/src/routing/machine-index.ts
+++ b/src/routing/machine-index.ts
@@ -1,15 +1,13 @@
-/** Workers of a machine list, by name, by zone, and by model and zone. */
+/** Index of the workers of a machine list by name, by zone, and by model and zone. */
 import { placementHash } from '../core/hashing.js';
 import type { ModelName, WorkerId, ZoneName } from '../core/identity.js';
 import type { MachineRecord, WorkerRecord } from '../platform/worker.js';
 
-/** A worker of the list and whether its machine is leaving. */
 export interface IndexedWorker {
   readonly record: WorkerRecord;
   readonly machineLeaving: boolean;
 }
 
-/** An immutable index of one machine list. */
 export class MachineIndex {
   readonly #workers = new Map<WorkerId, IndexedWorker>();
   readonly #byZone = new Map<ZoneName, WorkerRecord[]>();
@@ -19,25 +17,24 @@
     for (const machine of machines) {
       for (const record of machine.workers) this.#add(machine, record);
     }
-    this.#sortRings();
+    this.#sortByHash();
   }
 
-  /** A worker by name. */
   worker(worker: WorkerId): IndexedWorker | undefined {
     return this.#workers.get(worker);
   }
 
-  /** All workers of a zone, those of leaving machines included. */
+  /** All workers of a zone, including those of leaving machines. */
   inZone(zone: ZoneName): readonly WorkerRecord[] {
     return this.#byZone.get(zone) ?? [];
   }
 
-  /** Workers of a model and zone on live machines, in an order that all nodes agree on. */
+  /** Workers of a model and zone on live machines, in the same order on all nodes. */
   inService(model: ModelName, zone: ZoneName): readonly WorkerRecord[] {
     return this.#inService.get(model)?.get(zone) ?? [];
   }
 
-  /** A worker said to be in another zone than its machine is left out: its place is not known. */
+  /** Skips a worker whose zone differs from that of its machine, as its zone is uncertain. */
   #add(machine: MachineRecord, record: WorkerRecord): void {
     if (record.zone !== machine.zone) return;
     const machineLeaving = machine.state === 'leaving';
@@ -49,8 +46,8 @@
     append(zones, record.zone, record);
   }
 
-  /** By hash, so that neighbours in the order seldom share a machine. */
-  #sortRings(): void {
+  /** Sorts by hash, so that neighbours rarely share a machine. */
+  #sortByHash(): void {
     for (const zones of this.#inService.values()) {
       for (const [zone, records] of zones) zones.set(zone, sortedByHash(records));
     }
@@ -73,7 +70,7 @@
 
 const indexes = new WeakMap<readonly MachineRecord[], MachineIndex>();
 
-/** The index of a list; nodes that share one list object in a process share the index. */
+/** The index of a list, cached by the array object. */
 export function machineIndexOf(machines: readonly MachineRecord[]): MachineIndex {
   const known = indexes.get(machines);
   if (known !== undefined) return known;
--- a/src/routing/outlier-detector.ts
+++ b/src/routing/outlier-detector.ts
@@ -1,50 +1,48 @@
 /**
- * Outlier ejection by the outcomes of calls, as in Envoy and gRPC: a worker whose calls fail is
- * taken out for a time that grows with each ejection, and only a share of a group may be out.
+ * Outlier ejection as in Envoy and gRPC: a worker whose calls fail is ejected for a time that grows
+ * with each ejection; only a share of a group may be ejected at once.
  */
 import { jittered, type RandomSource } from '../core/random.js';
 import type { Milliseconds } from '../core/units.js';
 import type { CallOutcome } from './worker-candidate.js';
 
-/** Settings of outlier ejection. */
 export interface OutlierOptions {
   readonly random: RandomSource;
-  /** Failures in a row that eject; default 5. */
+  /** Consecutive failures that cause an ejection; default 5. */
   readonly consecutiveFailures?: number;
-  /** Moving share of failures that ejects; default 0.5. */
+  /** Moving average of the failure share that causes an ejection; default 0.5. */
   readonly failureShare?: number;
-  /** First ejection, doubled with each further one; default 5,000 ms. */
+  /** Duration of the first ejection, doubled with each further one; default 5,000 ms. */
   readonly baseEjection?: Milliseconds;
-  /** Longest ejection before jitter; default 120,000 ms. */
+  /** Maximum duration of an ejection before jitter; default 120,000 ms. */
   readonly maximumEjection?: Milliseconds;
-  /** Largest share of a group that may be ejected at once; default 0.34. */
+  /** Maximum share of a group that may be ejected at once; default 0.34. */
   readonly maximumShare?: number;
 }
 
-/** What outcomes tell of one worker. */
+/** Statistics of the call outcomes of one worker. */
 export interface OutcomeHistory {
   consecutiveFailures: number;
   failureShare: number;
   observations: number;
-  /** Ejections so far; falls by one for each quiet period. */
+  /** Number of ejections; decreases by one for each period without failures. */
   ejections: number;
   ejectedUntil: Milliseconds;
   lastFailureAt: Milliseconds;
 }
 
-/** Weight of one outcome in the moving share of failures. */
+/** Weight of one outcome in the moving average of failures. */
 const SMOOTHING = 0.1;
 
-/** Outcomes needed before the moving share counts. */
-const MINIMUM_OBSERVATIONS = 10;
+/** Outcomes before the moving average may cause an ejection. */
+const MIN_OBSERVATIONS = 10;
 
-/** Ejection times are drawn within this share around their length. */
+/** Ejection times vary by this share in both directions. */
 const JITTER = 0.2;
 
-/** Time without failures after which one ejection is forgotten. */
+/** Time without failures after which the number of ejections decreases by one. */
 const QUIET_PERIOD: Milliseconds = 60_000;
 
-/** A history without outcomes. */
 export function createOutcomeHistory(): OutcomeHistory {
   return {
     consecutiveFailures: 0,
@@ -56,7 +54,6 @@
   };
 }
 
-/** Decides when a worker is ejected, and for how long. */
 export class OutlierDetector {
   readonly #random: RandomSource;
   readonly #consecutiveFailures: number;
@@ -74,13 +71,13 @@
     this.#maximumShare = options.maximumShare ?? 0.34;
   }
 
-  /** Most workers of a group that may be out at once; never the only one. */
+  /** Maximum number of ejected workers of a group; 0 for a group of one. */
   ejectionLimit(groupSize: number): number {
     if (groupSize < 2) return 0;
     return Math.max(1, Math.floor(groupSize * this.#maximumShare));
   }
 
-  /** Takes in one outcome; true where it calls for ejection. */
+  /** Records one outcome; returns whether the worker should be ejected. Refusals are ignored. */
   record(history: OutcomeHistory, outcome: CallOutcome, now: Milliseconds): boolean {
     if (outcome === 'refused') return false;
     const failed = outcome === 'failed';
@@ -90,13 +87,13 @@
       history.consecutiveFailures = 0;
       return false;
     }
-    this.#forgetOldEjections(history, now);
+    this.#decayEjections(history, now);
     history.lastFailureAt = now;
     history.consecutiveFailures += 1;
     return this.#isOutlier(history);
   }
 
-  /** Ejects: sets the time until which the worker is out, and starts its history anew. */
+  /** Sets the end of the ejection and resets the failure statistics. */
   eject(history: OutcomeHistory, now: Milliseconds): void {
     const grown = this.#baseEjection * 2 ** history.ejections;
     const length = Math.min(this.#maximumEjection, grown);
@@ -109,11 +106,11 @@
 
   #isOutlier(history: OutcomeHistory): boolean {
     if (history.consecutiveFailures >= this.#consecutiveFailures) return true;
-    const enough = history.observations >= MINIMUM_OBSERVATIONS;
+    const enough = history.observations >= MIN_OBSERVATIONS;
     return enough && history.failureShare >= this.#failureShare;
   }
 
-  #forgetOldEjections(history: OutcomeHistory, now: Milliseconds): void {
+  #decayEjections(history: OutcomeHistory, now: Milliseconds): void {
     if (history.ejections === 0) return;
     const quietSince = Math.max(history.lastFailureAt, history.ejectedUntil);
     const periods = Math.floor((now - quietSince) / QUIET_PERIOD);
--- a/src/routing/prefix-affinity-policy.ts
+++ b/src/routing/prefix-affinity-policy.ts
@@ -1,9 +1,9 @@
-/** Policy: prefix affinity with bounded load over the load the engines report. */
+/** Policy: prefix affinity with bounded load, with the load from the engines' reports. */
 import { BoundedLoadPicker } from './bounded-load-pick.js';
 import { HashRingCache } from './hash-ring.js';
 import { candidateAt, type RoutingPolicy } from './routing-policy.js';
 
-/** How far above the average a worker may be loaded. */
+/** Largest load of a worker relative to the average. */
 const LOAD_FACTOR = 1.25;
 
 /** Creates the policy `prefix-affinity-bounded-load`. */
--- a/src/routing/retry-budget.ts
+++ b/src/routing/retry-budget.ts
@@ -1,20 +1,19 @@
 /**
- * A retry budget: retries are a share of the traffic, not a count per request, so that retries
- * cannot multiply the load when a place fails (as in Finagle and gRPC retry throttling).
+ * A retry budget: limits retries to a share of the traffic instead of a count per request, so that
+ * retries cannot multiply the load during a failure (as in Finagle and gRPC retry throttling).
  */
 import type { Milliseconds } from '../core/units.js';
 
-/** Settings of a retry budget. */
 export interface RetryBudgetOptions {
   /** Retries earned by each first attempt; default 0.1. */
   readonly share?: number;
   /** Retries per second allowed without any traffic; default 1. */
   readonly minimumPerSecond?: number;
-  /** Most retries that can be saved up; default 20. */
+  /** Maximum balance, in retries; default 20. */
   readonly maximumBalance?: number;
 }
 
-/** A token bucket filled by first attempts and drawn on by retries. */
+/** A token bucket that first attempts and time fill and retries draw from. */
 export class RetryBudget {
   readonly #share: number;
   readonly #minimumPerSecond: number;
@@ -22,7 +21,7 @@
   #balance: number;
   #filledAt: Milliseconds;
 
-  /** @param now starts the clock; the bucket holds one second's minimum */
+  /** @param now start of the refill; the initial balance is the minimum of one second */
   constructor(options: RetryBudgetOptions, now: Milliseconds) {
     this.#share = options.share ?? 0.1;
     this.#minimumPerSecond = options.minimumPerSecond ?? 1;
@@ -31,19 +30,18 @@
     this.#filledAt = now;
   }
 
-  /** Retries that could be made now. */
+  /** Number of retries available now. */
   balance(now: Milliseconds): number {
     this.#fill(now);
     return Math.floor(this.#balance);
   }
 
-  /** Notes a first attempt. */
   recordFirstAttempt(now: Milliseconds): void {
     this.#fill(now);
     this.#add(this.#share);
   }
 
-  /** Takes one retry out of the budget; false where there is none, and then no retry is made. */
+  /** Takes one retry from the budget; false where the caller must not retry. */
   tryRetry(now: Milliseconds): boolean {
     this.#fill(now);
     if (this.#balance < 1) return false;
--- a/src/routing/round-robin-policy.ts
+++ b/src/routing/round-robin-policy.ts
@@ -1,7 +1,7 @@
-/** Baseline policy: eligible workers in turn, whatever their load. */
+/** Baseline policy: eligible workers in turn, regardless of load. */
 import { candidateAt, type RoutingPolicy } from './routing-policy.js';
 
-/** Creates the policy `round-robin`; each instance keeps one turn. */
+/** Creates the policy `round-robin`; each instance has its own counter. */
 export function createRoundRobinPolicy(): RoutingPolicy {
   let turn = 0;
   return {
--- a/src/routing/router.ts
+++ b/src/routing/router.ts
@@ -1,6 +1,6 @@
 /**
- * Decides which worker runs a request: zones first, then state, weight version and room, then the
- * policy's choice among what is left. A request that no worker may run is refused at once.
+ * Selects the worker that runs a request: filters candidates by zone, state, weight version and free
+ * slots, then applies the routing policy. A request without an eligible worker is refused at once.
  */
 import type { GenerationRequest } from '../core/generation.js';
 import type { WorkerId, ZoneName } from '../core/identity.js';
@@ -11,22 +11,21 @@
 import type { RoutingPolicy, RoutingReason } from './routing-policy.js';
 import type { WorkerCandidate } from './worker-candidate.js';
 
-/** What a decision rests on besides the request. */
+/** Input of a routing decision besides the request. */
 export interface RoutingContext {
-  /** Zones the request may run in; no worker elsewhere is ever chosen. */
+  /** Zones the request may run in. */
   readonly zones: readonly ZoneName[];
-  /** As given by `WorkerDirectory.candidates`. */
+  /** From `WorkerDirectory.candidates`. */
   readonly candidates: readonly WorkerCandidate[];
-  /** The newest published version of the model; `undefined` where it is not known. */
+  /** The newest published version of the model; `undefined` where it is unknown. */
   readonly newestVersion: WeightVersion | undefined;
-  /** The newest version that may be used; absent or `null` where there is no such limit. */
+  /** The newest version allowed; absent or `null` for no limit. */
   readonly maximumVersion?: WeightVersion | null;
-  /** Workers that were tried before. */
+  /** Workers that were tried already. */
   readonly exclude: ReadonlySet<WorkerId>;
   readonly now: Milliseconds;
 }
 
-/** The outcome of one decision. */
 export type RoutingDecision =
   | {
       readonly kind: 'worker';
@@ -35,35 +34,34 @@
     }
   | { readonly kind: 'refused'; readonly failure: Failure };
 
-/** Settings of a router. */
 export interface RouterOptions {
   readonly policy: RoutingPolicy;
-  /** Spreads the times at which refused callers come back. */
+  /** Jitters the retry delays. */
   readonly random: RandomSource;
 }
 
-/** When to come back where workers exist but nothing is known of them yet. */
-const CONNECTING_RETRY: Milliseconds = 500;
+/** Average retry delay while the load of the workers is still unknown. */
+const CONNECTING_RETRY_DELAY: Milliseconds = 500;
 
-/** When to come back, on average, where no worker is in service. */
-const NO_WORKER_RETRY: Milliseconds = 2_000;
+/** Average retry delay where no worker is in service. */
+const NO_WORKER_RETRY_DELAY: Milliseconds = 2_000;
 
-/** When to come back, on average, where no worker has weights within the bound. */
-const VERSION_RETRY: Milliseconds = 2_000;
+/** Average retry delay where no worker has weights within the bounds. */
+const VERSION_RETRY_DELAY: Milliseconds = 2_000;
 
-/** When to come back, on average, where all workers are full. */
-const OVERLOADED_RETRY: Milliseconds = 1_000;
+/** Average retry delay where all workers are full. */
+const OVERLOADED_RETRY_DELAY: Milliseconds = 1_000;
 
-/** Share by which the time to come back is spread both ways. */
+/** Retry delays vary by this share in both directions. */
 const RETRY_AFTER_JITTER = 0.5;
 
-/** Candidates the buffers hold at first. */
+/** Initial length of the buffers, in candidates. */
 const INITIAL_SIZE = 128;
 
-/** Queue places beyond the slots that interactive work may count on at a worker. */
-const INTERACTIVE_SPARE = 1;
+/** Queue slots of a worker that interactive work may use beyond the regular slots. */
+const INTERACTIVE_QUEUE_SLOTS = 1;
 
-/** How many candidates got past each check; tells why a request is refused. */
+/** Number of candidates after each filter; the reason of a refusal follows from it. */
 interface FilterCounts {
   allowed: number;
   connecting: number;
@@ -72,7 +70,6 @@
   eligible: number;
 }
 
-/** Chooses workers for requests. */
 export class Router {
   readonly #policy: RoutingPolicy;
   readonly #random: RandomSource;
@@ -85,9 +82,9 @@
     this.#random = options.random;
   }
 
-  /** Chooses a worker for one request, or refuses it as not run. */
+  /** Selects a worker for a request, or refuses the request as not run. */
   choose(request: GenerationRequest, context: RoutingContext): RoutingDecision {
-    this.#reserve(context.candidates.length);
+    this.#ensureCapacity(context.candidates.length);
     const versionKnown = isVersionKnown(request, context);
     const counts = this.#filter(request, context);
     if (counts.inService > 0 && !versionKnown) return this.#versionUnknown();
@@ -106,7 +103,7 @@
     return { kind: 'worker', candidate: pick.candidate, reason: pick.reason };
   }
 
-  #reserve(size: number): void {
+  #ensureCapacity(size: number): void {
     if (size <= this.#eligible.length) return;
     this.#eligible = new Int32Array(size * 2);
     this.#flags = new Uint8Array(size * 2);
@@ -126,7 +123,7 @@
       counts.inService += 1;
       if (!isWithinBound(candidate, request.oldestVersion, maximumVersion)) continue;
       counts.fresh += 1;
-      if (!hasRoom(candidate, request)) continue;
+      if (!hasFreeSlot(candidate, request)) continue;
       if (exclude.size > 0 && exclude.has(candidate.record.worker)) continue;
       this.#flags[index] = 1;
       this.#eligible[counts.eligible] = index;
@@ -142,22 +139,22 @@
   }
 
   #noWorker(counts: FilterCounts): RoutingDecision {
-    const wait = counts.connecting > 0 ? CONNECTING_RETRY : NO_WORKER_RETRY;
+    const wait = counts.connecting > 0 ? CONNECTING_RETRY_DELAY : NO_WORKER_RETRY_DELAY;
     const detail = `${counts.allowed} workers known in the allowed zones, none in service`;
     return this.#refusal('no_worker', detail, wait);
   }
 
   #versionUnknown(): RoutingDecision {
     const detail = 'no worker in the allowed zones is known to serve weights within the bound';
-    return this.#refusal('version_unknown', detail, VERSION_RETRY);
+    return this.#refusal('version_unknown', detail, VERSION_RETRY_DELAY);
   }
 
   #overloaded(): RoutingDecision {
     const detail = 'every worker that may run this is full or was tried';
-    return this.#refusal('overloaded', detail, OVERLOADED_RETRY);
+    return this.#refusal('overloaded', detail, OVERLOADED_RETRY_DELAY);
   }
 
-  /** @param wait average time to come back */
+  /** @param wait average retry delay */
   #refusal(
     kind: 'no_worker' | 'version_unknown' | 'overloaded',
     detail: string,
@@ -168,7 +165,7 @@
   }
 }
 
-/** Training work with a bound needs the newest version known; interactive work does not. */
+/** Training with a bound on staleness requires that the newest version is known. */
 function isVersionKnown(request: GenerationRequest, context: RoutingContext): boolean {
   const bounded = request.trafficClass === 'training' && request.oldestVersion > 0;
   return !bounded || context.newestVersion !== undefined;
@@ -184,7 +181,7 @@
   return activeVersion !== undefined && activeVersion >= oldest && activeVersion <= newest;
 }
 
-function hasRoom(candidate: WorkerCandidate, request: GenerationRequest): boolean {
+function hasFreeSlot(candidate: WorkerCandidate, request: GenerationRequest): boolean {
   if (request.trafficClass === 'training') return candidate.queueFree > candidate.sentSinceUpdate;
-  return candidate.interactiveOutstanding < candidate.slots + INTERACTIVE_SPARE;
+  return candidate.interactiveOutstanding < candidate.slots + INTERACTIVE_QUEUE_SLOTS;
 }
--- a/src/routing/routing-policies.ts
+++ b/src/routing/routing-policies.ts
@@ -1,4 +1,4 @@
-/** The registry with all policies of this project. */
+/** The registry of the built-in routing policies. */
 import { createHomeCountingPolicy, HOME_COUNTING } from './home-counting-policy.js';
 import { createLeastLaggedLoadPolicy } from './least-lagged-load-policy.js';
 import { createPowerOfTwoPolicy } from './power-of-two-policy.js';
--- a/src/routing/routing-policy.ts
+++ b/src/routing/routing-policy.ts
@@ -1,10 +1,10 @@
-/** The interface of routing policies, and the registry that makes one by name. */
+/** The interface of routing policies, and the registry that creates them by name. */
 import type { GenerationRequest } from '../core/generation.js';
 import type { RandomSource } from '../core/random.js';
 import type { Milliseconds } from '../core/units.js';
 import type { WorkerCandidate } from './worker-candidate.js';
 
-/** Why a worker was chosen. */
+/** Why a policy chose a worker; recorded with the decision. */
 export type RoutingReason =
   | 'random'
   | 'round-robin'
@@ -13,12 +13,12 @@
   | 'prefix-affinity'
   | 'load-bound-passed-on';
 
-/** One choice put to a policy. At least one candidate is eligible. */
+/** Input of a policy. At least one candidate is eligible. */
 export interface RoutingChoice {
   readonly request: GenerationRequest;
-  /** The same array object as long as its members stay the same. */
+  /** The same array object while its members are unchanged. */
   readonly candidates: readonly WorkerCandidate[];
-  /** Indices of eligible candidates; only the first `eligibleCount` entries count. */
+  /** Indices of eligible candidates; only the first `eligibleCount` entries are valid. */
   readonly eligible: Int32Array;
   readonly eligibleCount: number;
   /** By candidate index: 1 where eligible. */
@@ -26,28 +26,29 @@
   readonly now: Milliseconds;
 }
 
-/** A policy's answer. */
+/** Result of a policy. */
 export interface RoutingPick {
   readonly candidate: WorkerCandidate;
   readonly reason: RoutingReason;
 }
 
-/** Picks one of the eligible candidates; `undefined` where none can be picked. */
+/** A routing policy. */
 export interface RoutingPolicy {
   readonly name: string;
+  /** Picks one of the eligible candidates; `undefined` where all are above their load bound. */
   pick(choice: RoutingChoice): RoutingPick | undefined;
 }
 
-/** Makes a policy. */
 export type RoutingPolicyFactory = (random: RandomSource) => RoutingPolicy;
 
 /** Policies by name. */
 export class RoutingPolicyRegistry {
   readonly #factories = new Map<string, RoutingPolicyFactory>();
 
-  /** Adds a policy; throws where the name is taken. */
+  /** Adds a policy; throws where the name is registered already. */
   register(name: string, factory: RoutingPolicyFactory): this {
-    if (this.#factories.has(name)) throw new Error(`The routing policy ${name} exists already`);
+    if (this.#factories.has(name))
+      throw new Error(`routing policy "${name}" is already registered`);
     this.#factories.set(name, factory);
     return this;
   }
@@ -57,20 +58,21 @@
     return [...this.#factories.keys()];
   }
 
-  /** Makes the named policy; throws for an unknown name. */
+  /** Creates a policy; throws for an unknown name. */
   create(name: string, random: RandomSource): RoutingPolicy {
     const factory = this.#factories.get(name);
-    if (factory === undefined) throw new Error(`There is no routing policy ${name}`);
+    if (factory === undefined) throw new Error(`unknown routing policy "${name}"`);
     return factory(random);
   }
 }
 
-/** Candidate at an index that is known to exist. */
+/** The candidate at an index; throws `RangeError` where there is none. */
 export function candidateAt(
   candidates: readonly WorkerCandidate[],
   index: number | undefined,
 ): WorkerCandidate {
   const candidate = index === undefined ? undefined : candidates[index];
-  if (candidate === undefined) throw new RangeError('A routing policy left its candidates');
+  if (candidate === undefined)
+    throw new RangeError('routing policy chose an index outside of the candidate list');
   return candidate;
 }
--- a/src/routing/worker-directory-types.ts
+++ b/src/routing/worker-directory-types.ts
@@ -7,7 +7,7 @@
 import type { OutlierDetector } from './outlier-detector.js';
 import type { WorkerStateChange } from './worker-candidate.js';
 
-/** Something the directory asks to be done. */
+/** An action that the caller of the directory performs. */
 export type WorkerDirectoryEffect =
   | {
       readonly kind: 'send';
@@ -17,19 +17,18 @@
   | { readonly kind: 'poll'; readonly worker: WorkerRecord }
   | { readonly kind: 'state-change'; readonly change: WorkerStateChange };
 
-/** Settings of the directory. */
 export interface WorkerDirectoryOptions {
   readonly self: NodeRecord;
   readonly random: RandomSource;
-  /** Most workers followed of one model and zone; default 32. */
+  /** Maximum number of followed workers of one model and zone; larger for step drivers; default 32. */
   readonly subsetSize?: number;
-  /** Time between two polls of a worker by its home; default 500 ms. */
+  /** Interval between polls of a worker by its home; default 500 ms. */
   readonly pollInterval?: Milliseconds;
-  /** Shortest time between two pushes to one subscriber; default 200 ms. */
+  /** Minimum interval between pushes to one subscriber; default 200 ms. */
   readonly pushInterval?: Milliseconds;
-  /** Longest time between two renewals of a subscription; default 2,000 ms. */
+  /** Maximum interval between renewals of a subscription; default 2,000 ms. */
   readonly renewInterval?: Milliseconds;
-  /** Time without news after which a worker's load counts as unknown; default 5,000 ms. */
+  /** Time without an update after which the load of a worker is stale; default 5,000 ms. */
   readonly staleAfter?: Milliseconds;
   /** Default: a detector with its own defaults. */
   readonly outlierDetector?: OutlierDetector;
--- a/src/routing/worker-directory.ts
+++ b/src/routing/worker-directory.ts
@@ -1,8 +1,6 @@
 /**
- * What one node knows of the model workers: which exist, which node is each one's home, which may
- * take new work, and how loaded they are. A node follows a subset of the workers of each model and
- * zone it serves, and polls those whose home it is, so that state and messages do not grow with
- * the fleet.
+ * The directory of model workers at one node: their homes, states and loads. A node polls the workers
+ * whose home it is and follows a subset of the others, so that its state is bounded in large fleets.
  */
 import type { DrainRecord } from '../config-feed/configuration.js';
 import {
@@ -32,19 +30,17 @@
 import type { WorkerEntry } from './worker-entry.js';
 import { type WantedModel, WorkerTopology } from './worker-topology.js';
 
-/** A home counts its own dispatches; reports add the version, `leaving` and ill health. */
 const DEFAULT_POLL_INTERVAL: Milliseconds = 500;
 
-/** How often states that change by time alone are looked at. */
+/** Interval at which states that depend on elapsed time are updated. */
 const SWEEP_INTERVAL: Milliseconds = 250;
 
-/** A subscription lives for this many renewal intervals. */
-const SUBSCRIPTION_LIFE_RENEWALS = 3;
+/** Renewal intervals after which a subscription expires. */
+const SUBSCRIPTION_TIMEOUT_RENEWALS = 3;
 
-/** An own dispatch is counted apart for this many push intervals, then the home knows of it. */
-const SENT_COUNT_PUSHES = 2;
+/** Push intervals after which the counts of the home include the dispatches of this node. */
+const SENT_COUNT_TIMEOUT_PUSHES = 2;
 
-/** The node's view of all workers. */
 export class WorkerDirectory {
   readonly #self: NodeRecord;
   readonly #topology: WorkerTopology;
@@ -67,7 +63,7 @@
     this.#entries = new WorkerEntries({
       topology: this.#topology,
       staleAfter: options.staleAfter ?? 5_000,
-      sentLife: SENT_COUNT_PUSHES * pushInterval,
+      sentCountTimeout: SENT_COUNT_TIMEOUT_PUSHES * pushInterval,
       onChange: (change) => this.#stateChanged(change),
     });
     this.#homeLoads = new HomeLoads({
@@ -76,11 +72,11 @@
       isHome: (worker) => this.isHome(worker),
       pollInterval: options.pollInterval ?? DEFAULT_POLL_INTERVAL,
       pushInterval,
-      subscriptionLife: renewInterval * SUBSCRIPTION_LIFE_RENEWALS,
+      subscriptionTimeout: renewInterval * SUBSCRIPTION_TIMEOUT_RENEWALS,
     });
   }
 
-  /** Takes in the machine list. The same array object again costs nothing. */
+  /** Applies the machine list; does nothing for the same array object. */
   updateMachines(
     machines: readonly MachineRecord[],
     now: Milliseconds,
@@ -88,7 +84,7 @@
     return this.#topology.updateMachines(machines) ? this.#rebuild(now) : [];
   }
 
-  /** Takes in the live nodes. A zone whose array object is the same as before costs nothing. */
+  /** Applies the live nodes; skips zones with the same array object as before. */
   updateNodes(
     liveInZone: (zone: ZoneName) => readonly NodeRecord[],
     now: Milliseconds,
@@ -96,7 +92,7 @@
     return this.#topology.updateNodes(liveInZone) ? this.#rebuild(now) : [];
   }
 
-  /** Takes in the operators' drains of workers and zones. */
+  /** Applies the operators' drains of workers and zones. */
   updateDrains(
     drains: readonly DrainRecord[],
     now: Milliseconds,
@@ -104,7 +100,7 @@
     return this.#topology.updateDrains(drains) ? this.#rebuild(now) : [];
   }
 
-  /** Sets the models this node routes for; call `updateNodes` after it for zones not seen yet. */
+  /** Sets the models this node routes for; call `updateNodes` afterwards for new zones. */
   updateWanted(
     models: readonly WantedModel[],
     now: Milliseconds,
@@ -112,7 +108,7 @@
     return this.#topology.updateWanted(models) ? this.#rebuild(now) : [];
   }
 
-  /** Takes in a message of another node's directory. */
+  /** Handles a message from the directory of another node. */
   receive(
     from: NodeIdentity,
     message: WorkerViewMessage,
@@ -122,42 +118,42 @@
       const { workers, lastSequence } = message;
       const push = this.#homeLoads.subscribe(from, workers, lastSequence, now);
       if (push !== undefined) this.#send(push);
-      return this.#takeEffects();
+      return this.#drainEffects();
     }
     const isEmpty = message.loads.length === 0 && message.notHome.length === 0;
     const { sequence, complete } = message;
     if (!this.#subscriptions.accept(from, { sequence, complete, isEmpty }, now)) return [];
-    if (isEmpty) this.#keepAlive(from, now);
-    for (const load of message.loads) this.#takeLoad(from, load, now);
-    for (const worker of message.notHome) this.#takeNotHome(from, worker, now);
-    return this.#takeEffects();
+    if (isEmpty) this.#applyKeepAlive(from, now);
+    for (const load of message.loads) this.#applyLoad(from, load, now);
+    for (const worker of message.notHome) this.#applyNotHome(from, worker, now);
+    return this.#drainEffects();
   }
 
-  /** Takes in an engine's report of itself; counts where this node is its home. */
+  /** Applies the report of an engine; ignored where this node is not the worker's home. */
   workerReport(report: WorkerReport, now: Milliseconds): readonly WorkerDirectoryEffect[] {
-    this.#homeLoads.takeReport(report, now);
-    return this.#takeEffects();
+    this.#homeLoads.recordReport(report, now);
+    return this.#drainEffects();
   }
 
-  /** Takes in that a poll of a worker failed. */
+  /** Records a failed poll; ignored where this node is not the worker's home. */
   workerUnreachable(worker: WorkerId, now: Milliseconds): readonly WorkerDirectoryEffect[] {
-    this.#homeLoads.takeFailedPoll(worker, now);
-    return this.#takeEffects();
+    this.#homeLoads.recordFailedPoll(worker, now);
+    return this.#drainEffects();
   }
 
-  /** Polls, renewals and pushes that are due, and states that change by time alone. */
+  /** Returns due polls, renewals and pushes, and changes of states that depend on elapsed time. */
   tick(now: Milliseconds): readonly WorkerDirectoryEffect[] {
     for (const worker of this.#homeLoads.duePolls(now)) this.#poll(worker);
     for (const push of this.#homeLoads.duePushes(now)) this.#send(push);
-    if (now < this.#sweepAt) return this.#takeEffects();
+    if (now < this.#sweepAt) return this.#drainEffects();
     this.#sweepAt = now + SWEEP_INTERVAL;
     this.#homeLoads.sweep(now);
-    for (const renewal of this.#subscriptions.tick(now)) this.#send(renewal);
+    for (const renewal of this.#subscriptions.dueRenewals(now)) this.#send(renewal);
     this.#entries.sweep(now);
-    return this.#takeEffects();
+    return this.#drainEffects();
   }
 
-  /** Takes in how a call to a worker ended. */
+  /** Records the outcome of a call; may eject the worker. */
   recordOutcome(
     worker: WorkerId,
     outcome: CallOutcome,
@@ -166,109 +162,108 @@
     const entry = this.#entries.get(worker);
     if (entry === undefined) return [];
     const isOutlier = this.#detector.record(entry.outcomes, outcome, now);
-    if (!isOutlier || entry.state === 'ejected' || !this.#mayEject(entry)) return [];
+    if (!isOutlier || entry.state === 'ejected' || !this.#canEject(entry)) return [];
     this.#detector.eject(entry.outcomes, now);
     this.#entries.refresh(entry, now);
-    return this.#takeEffects();
+    return this.#drainEffects();
   }
 
-  /** Notes a dispatch of this node, counted until the home's next word on the worker. */
+  /** Counts a dispatch of this node until the home next reports the load of the worker. */
   noteSent(worker: WorkerId, now: Milliseconds): void {
     this.#entries.get(worker)?.noteSent(now);
   }
 
-  /** Takes in the counts of this home's admission for one of its workers. */
+  /** Applies the counts of this node's admission control for a worker whose home it is. */
   setOutstanding(worker: WorkerId, counts: OutstandingCounts, now: Milliseconds): void {
-    this.#homeLoads.takeCounts(worker, counts, now);
+    this.#homeLoads.recordCounts(worker, counts, now);
   }
 
   /**
-   * Workers of this node's subsets that no source calls leaving; their states still count. The
-   * same array object is returned until its members change.
+   * Followed workers that are not leaving; callers check the other states. Returns the same array
+   * object until its members change.
    */
   candidates(model: ModelName, zones: readonly ZoneName[]): readonly WorkerCandidate[] {
     return this.#followed.candidates(model, zones);
   }
 
-  /** Whether this node is a worker's home. */
   isHome(worker: WorkerId): boolean {
     return this.#topology.isHome(worker);
   }
 
-  /** A worker's home; `undefined` for an unknown worker or a zone without live nodes. */
+  /** The home of a worker; `undefined` for an unknown worker or a zone without live nodes. */
   homeOf(worker: WorkerId): NodeRecord | undefined {
     return this.#topology.homeOf(worker);
   }
 
-  /** Workers whose home this node is. */
+  /** Workers whose home is this node. */
   workersAtHome(): readonly WorkerRecord[] {
     return this.#homeLoads.workers;
   }
 
-  /** A worker of the machine list. */
+  /** A worker of the machine list; `undefined` for an unknown one. */
   worker(worker: WorkerId): WorkerRecord | undefined {
     return this.#topology.worker(worker);
   }
 
-  /** The last report of a worker whose home this node is. */
+  /** The last report of a worker whose home is this node. */
   report(worker: WorkerId): WorkerReport | undefined {
     return this.#homeLoads.reportOf(worker);
   }
 
-  /** Whether any source known here says that a worker takes no new work. */
+  /** Whether machine list, operators, engine or home report that a worker accepts no new work. */
   isLeaving(worker: WorkerId): boolean {
     if (this.#topology.isWithdrawn(worker)) return true;
-    return this.#entries.get(worker)?.saysLeaving ?? false;
+    return this.#entries.get(worker)?.reportedLeaving ?? false;
   }
 
-  /** Works out subsets, homes and subscriptions anew after a change of what they rest on. */
+  /** Recomputes subsets, homes and subscriptions. */
   #rebuild(now: Milliseconds): readonly WorkerDirectoryEffect[] {
     const own = this.#topology.ownWorkers();
     this.#homeLoads.replace(own, now);
-    const kept = new Set<WorkerId>();
-    this.#entries.keepAll(own, kept, now);
+    const retained = new Set<WorkerId>();
+    this.#entries.upsertAll(own, retained, now);
     this.#followed = new FollowedWorkers();
     for (const { model, zone, records } of this.#topology.subsets()) {
-      this.#followed.set(model, zone, this.#entries.keepAll(records, kept, now));
+      this.#followed.set(model, zone, this.#entries.upsertAll(records, retained, now));
     }
-    this.#entries.retain(kept);
-    const wanted = this.#followed.byHome(this.#self);
-    for (const end of this.#subscriptions.replace(wanted, now)) this.#send(end);
+    this.#entries.retain(retained);
+    const required = this.#followed.byHome(this.#self);
+    for (const cancellation of this.#subscriptions.replace(required, now)) this.#send(cancellation);
     this.#sweepAt = now;
-    return this.#takeEffects();
+    return this.#drainEffects();
   }
 
-  #takeLoad(from: NodeIdentity, load: WorkerLoad, now: Milliseconds): void {
+  #applyLoad(from: NodeIdentity, load: WorkerLoad, now: Milliseconds): void {
     const entry = this.#entries.get(load.worker);
     if (entry === undefined || !sameIdentity(entry.home, from)) return;
     const ejects = load.health === 'failing' && entry.health !== 'failing';
-    const health = ejects && !this.#mayEject(entry) ? 'healthy' : load.health;
-    entry.takeLoad({ ...load, health }, now);
+    const health = ejects && !this.#canEject(entry) ? 'healthy' : load.health;
+    entry.applyLoad({ ...load, health }, now);
     this.#entries.refresh(entry, now);
   }
 
-  /** The sender does not think that it is the home: nothing is known until one of us changes. */
-  #takeNotHome(from: NodeIdentity, worker: WorkerId, now: Milliseconds): void {
+  /** The nodes disagree on the home; the load is unknown until they agree. */
+  #applyNotHome(from: NodeIdentity, worker: WorkerId, now: Milliseconds): void {
     const entry = this.#entries.get(worker);
     if (entry === undefined || !sameIdentity(entry.home, from)) return;
     entry.forgetLoad();
     this.#entries.refresh(entry, now);
   }
 
-  #keepAlive(from: NodeIdentity, now: Milliseconds): void {
+  #applyKeepAlive(from: NodeIdentity, now: Milliseconds): void {
     for (const worker of this.#subscriptions.workersAt(from)) {
       const entry = this.#entries.get(worker);
       if (entry === undefined || entry.activeVersion === undefined) continue;
-      entry.heardAt = now;
+      entry.loadUpdatedAt = now;
       this.#entries.refresh(entry, now);
     }
   }
 
   /**
-   * A home judges alone. Other nodes, whatever homes say, keep one worker of each zone and most
-   * of each model in service, yet may eject nearly all of a zone that fails.
+   * A home may eject all workers but those of a group of one. Other nodes leave one worker of each
+   * zone in service and limit the share of ejected workers of each model.
    */
-  #mayEject(entry: WorkerEntry): boolean {
+  #canEject(entry: WorkerEntry): boolean {
     const { model, zone, worker } = entry.record;
     if (this.isHome(worker)) return this.#topology.groupSize(model, zone) > 1;
     const health = this.#followed.health(model, zone);
@@ -290,7 +285,7 @@
     this.#effects.push({ kind: 'send', to: push.to, message: push.message });
   }
 
-  #takeEffects(): readonly WorkerDirectoryEffect[] {
+  #drainEffects(): readonly WorkerDirectoryEffect[] {
     if (this.#effects.length === 0) return [];
     const effects = this.#effects;
     this.#effects = [];
--- a/src/routing/worker-entries.ts
+++ b/src/routing/worker-entries.ts
@@ -1,4 +1,4 @@
-/** The directory's records of workers, and the changes of their states. */
+/** The entries of the worker directory; reports changes of their states. */
 import type { NodeRecord, WorkerId } from '../core/identity.js';
 import type { Milliseconds } from '../core/units.js';
 import type { WorkerRecord } from '../platform/worker.js';
@@ -6,22 +6,19 @@
 import { WorkerEntry } from './worker-entry.js';
 import type { WorkerTopology } from './worker-topology.js';
 
-/** Settings of the records. */
 export interface WorkerEntriesOptions {
-  /** Tells workers' homes, and which of them go away. */
+  /** Source of the homes and of the withdrawn workers. */
   readonly topology: WorkerTopology;
-  /** Time without news after which a worker counts as `connecting`. */
+  /** Time without an update after which a worker is `connecting`. */
   readonly staleAfter: Milliseconds;
-  /** Time for which an own dispatch is counted apart; then the home's count has it. */
-  readonly sentLife: Milliseconds;
-  /** Called on each change of a worker's state. */
+  /** Time after which the counts of the home include the dispatches of this node. */
+  readonly sentCountTimeout: Milliseconds;
   readonly onChange: (change: WorkerStateChange) => void;
 }
 
-/** States from which a worker returns with a slow start. */
+/** States after which a worker gets a slow start. */
 const RETURN_STATES: ReadonlySet<WorkerState> = new Set(['ejected', 'leaving', 'unreachable']);
 
-/** Records by worker. */
 export class WorkerEntries {
   readonly #options: WorkerEntriesOptions;
   readonly #entries = new Map<WorkerId, WorkerEntry>();
@@ -30,45 +27,46 @@
     this.#options = options;
   }
 
-  /** The entry of a worker; `undefined` for one that is neither followed nor at home here. */
+  /** The entry of a worker; `undefined` for one that is neither followed nor polled by this node. */
   get(worker: WorkerId): WorkerEntry | undefined {
     return this.#entries.get(worker);
   }
 
-  /** Works out all that changes by time alone. */
+  /** Updates what depends on elapsed time. */
   sweep(now: Milliseconds): void {
     for (const entry of this.#entries.values()) {
-      const isOld = now - entry.sentAt > this.#options.sentLife;
+      const isOld = now - entry.sentAt > this.#options.sentCountTimeout;
       if (entry.sentSinceUpdate > 0 && isOld) entry.sentSinceUpdate = 0;
       this.refresh(entry, now);
     }
   }
 
   /**
-   * Makes or updates the records of workers and adds their names to `kept`; what was known stays
-   * until it is stale. Workers of a zone without live nodes have no home and are left out.
+   * Creates or updates the entries of workers and adds their names to `retained`; existing load stays
+   * valid until it is stale. Skips workers of a zone without live nodes, as they have no home.
    */
-  keepAll(
+  upsertAll(
     records: readonly WorkerRecord[],
-    kept: Set<WorkerId>,
+    retained: Set<WorkerId>,
     now: Milliseconds,
   ): readonly WorkerEntry[] {
     const entries: WorkerEntry[] = [];
     for (const record of records) {
       const home = this.#options.topology.homeOf(record.worker);
       if (home === undefined) continue;
-      kept.add(record.worker);
-      entries.push(this.#keep(record, home, now));
+      retained.add(record.worker);
+      entries.push(this.#upsert(record, home, now));
     }
     return entries;
   }
 
-  /** Drops the records of all other workers. */
-  retain(kept: ReadonlySet<WorkerId>): void {
-    for (const worker of this.#entries.keys()) if (!kept.has(worker)) this.#entries.delete(worker);
+  /** Removes the entries of all other workers. */
+  retain(retained: ReadonlySet<WorkerId>): void {
+    for (const worker of this.#entries.keys())
+      if (!retained.has(worker)) this.#entries.delete(worker);
   }
 
-  /** Works out a worker's state anew and tells of a change. */
+  /** Recomputes the state of a worker and reports a change. */
   refresh(entry: WorkerEntry, now: Milliseconds): void {
     const from = entry.state;
     const to = entry.stateAt(now, this.#options.staleAfter);
@@ -78,10 +76,10 @@
     this.#options.onChange({ worker: entry.record.worker, from, to });
   }
 
-  #keep(record: WorkerRecord, home: NodeRecord, now: Milliseconds): WorkerEntry {
+  #upsert(record: WorkerRecord, home: NodeRecord, now: Milliseconds): WorkerEntry {
     const entry = this.#entries.get(record.worker) ?? new WorkerEntry(record, home);
     this.#entries.set(record.worker, entry);
-    if (entry.home.node !== home.node) entry.counted = false;
+    if (entry.home.node !== home.node) entry.hasAdmissionCounts = false;
     entry.record = record;
     entry.slots = record.slots;
     entry.home = home;
--- a/src/routing/worker-entry.ts
+++ b/src/routing/worker-entry.ts
@@ -1,4 +1,4 @@
-/** The directory's own record of one worker: the candidate that policies see, kept up to date. */
+/** The mutable entry of one worker in the directory; policies read it as `WorkerCandidate`. */
 import type { NodeRecord } from '../core/identity.js';
 import type { Milliseconds, WeightVersion } from '../core/units.js';
 import type { WorkerRecord, WorkerReport } from '../platform/worker.js';
@@ -6,7 +6,6 @@
 import { createOutcomeHistory, type OutcomeHistory } from './outlier-detector.js';
 import type { OutstandingCounts, WorkerCandidate, WorkerState } from './worker-candidate.js';
 
-/** One worker as this node knows it. */
 export class WorkerEntry implements WorkerCandidate {
   record: WorkerRecord;
   home: NodeRecord;
@@ -20,18 +19,18 @@
   activeVersion: WeightVersion | undefined;
   loadedVersions: readonly WeightVersion[] = [];
   returnedAt: Milliseconds = Number.NEGATIVE_INFINITY;
-  /** Machine list or operator say that it goes away. */
+  /** The machine list or an operator removes the worker. */
   withdrawn = false;
-  /** The engine says so itself, here or at its home. */
-  saysLeaving = false;
-  /** Health as its home sees it. */
+  /** The engine reports that it is leaving, to this node or to its home. */
+  reportedLeaving = false;
+  /** Health at its home. */
   health: WorkerHealth = 'healthy';
-  /** When its load was last known to be right. */
-  heardAt: Milliseconds = Number.NEGATIVE_INFINITY;
-  /** When the first of `sentSinceUpdate` was sent. */
+  /** When the load was last updated or confirmed. */
+  loadUpdatedAt: Milliseconds = Number.NEGATIVE_INFINITY;
+  /** When the first dispatch in `sentSinceUpdate` was sent. */
   sentAt: Milliseconds = 0;
-  /** Whether admission tells the counts; otherwise the engine's report stands in for them. */
-  counted = false;
+  /** Whether the counts come from admission control; otherwise from the engine's report. */
+  hasAdmissionCounts = false;
   readonly outcomes: OutcomeHistory = createOutcomeHistory();
 
   constructor(record: WorkerRecord, home: NodeRecord) {
@@ -40,23 +39,22 @@
     this.slots = record.slots;
   }
 
-  /** Whether any source says that the worker goes away. */
   get isLeaving(): boolean {
-    return this.withdrawn || this.saysLeaving;
+    return this.withdrawn || this.reportedLeaving;
   }
 
-  /** The state that follows from all that is known. */
+  /** Computes the state from health, ejection and age of the load. */
   stateAt(now: Milliseconds, staleAfter: Milliseconds): WorkerState {
     if (this.isLeaving) return 'leaving';
     if (this.health === 'unreachable') return 'unreachable';
     if (this.outcomes.ejectedUntil > now || this.health === 'failing') return 'ejected';
-    if (now - this.heardAt > staleAfter) return 'connecting';
+    if (now - this.loadUpdatedAt > staleAfter) return 'connecting';
     return 'in-service';
   }
 
-  /** Takes in what the worker's home tells. */
-  takeLoad(load: WorkerLoad, now: Milliseconds): void {
-    this.saysLeaving = load.leaving;
+  /** Applies the load published by the worker's home. */
+  applyLoad(load: WorkerLoad, now: Milliseconds): void {
+    this.reportedLeaving = load.leaving;
     this.health = load.health;
     if (load.activeVersion === null) return;
     this.outstanding = load.outstanding;
@@ -65,45 +63,44 @@
     this.reportedLoad = load.reportedLoad;
     this.activeVersion = load.activeVersion;
     this.loadedVersions = load.loadedVersions;
-    this.heardAt = now;
+    this.loadUpdatedAt = now;
     this.sentSinceUpdate = 0;
   }
 
-  /** Takes in the engine's own report, at its home. */
-  takeReport(report: WorkerReport, now: Milliseconds): void {
+  /** Applies the engine's report, at its home. */
+  applyReport(report: WorkerReport, now: Milliseconds): void {
     this.reportedLoad = report.running + report.waiting;
     this.activeVersion = report.activeVersion;
     this.loadedVersions = report.loadedVersions;
-    this.saysLeaving = report.leaving;
-    this.heardAt = now;
-    if (this.counted) return;
+    this.reportedLeaving = report.leaving;
+    this.loadUpdatedAt = now;
+    if (this.hasAdmissionCounts) return;
     this.outstanding = this.reportedLoad;
     this.queueFree = Math.max(0, this.slots - this.reportedLoad);
     this.sentSinceUpdate = 0;
   }
 
-  /** Takes in the counts of the home's admission. */
-  takeCounts(counts: OutstandingCounts): void {
-    this.counted = true;
+  /** Applies the counts of admission control, at its home. */
+  applyCounts(counts: OutstandingCounts): void {
+    this.hasAdmissionCounts = true;
     this.outstanding = counts.outstanding;
     this.interactiveOutstanding = counts.interactiveOutstanding;
     this.queueFree = counts.queueFree;
     this.sentSinceUpdate = 0;
   }
 
-  /** Notes a dispatch of this node. */
   noteSent(now: Milliseconds): void {
     if (this.sentSinceUpdate === 0) this.sentAt = now;
     this.sentSinceUpdate += 1;
   }
 
-  /** Forgets the load: the worker is `connecting` until its home tells of it. */
+  /** Discards the load: the worker is `connecting` until its home publishes a new one. */
   forgetLoad(): void {
     this.activeVersion = undefined;
-    this.heardAt = Number.NEGATIVE_INFINITY;
+    this.loadUpdatedAt = Number.NEGATIVE_INFINITY;
   }
 
-  /** What the home publishes. */
+  /** The load that the home publishes. */
   toLoad(now: Milliseconds): WorkerLoad {
     const failing = this.outcomes.ejectedUntil > now;
     return {
--- a/src/routing/worker-slots.ts
+++ b/src/routing/worker-slots.ts
@@ -1,4 +1,4 @@
-/** Slots and queue of one worker, as its home counts them. */
+/** Slots and queue of one worker in the admission control of its home. */
 import type { AccountName } from '../core/identity.js';
 import type { Milliseconds } from '../core/units.js';
 import type { WorkerRecord } from '../platform/worker.js';
@@ -8,23 +8,21 @@
 import { ServiceRate } from './service-rate.js';
 import type { OutstandingCounts } from './worker-candidate.js';
 
-/** Bounds of one worker. */
 export interface WorkerSlotsOptions {
   readonly worker: WorkerRecord;
-  /** Generations running at once. */
+  /** Limit of running generations. */
   readonly runningLimit: number;
-  /** Queue places for each traffic class. */
+  /** Limit of queued generations for each traffic class. */
   readonly queueLimit: number;
   readonly limits: AdmissionLimits;
 }
 
-/** The answer of one worker's slots. */
+/** Outcome of an admission; see `AdmissionResult`. */
 export type SlotResult =
   | { readonly kind: 'admitted'; readonly preempt: string | null }
   | { readonly kind: 'queued' }
   | { readonly kind: 'refused'; readonly retryAfter: Milliseconds };
 
-/** Counts, bounds and queues of one worker. */
 export class WorkerSlots {
   readonly worker: WorkerRecord;
   readonly #runningLimit: number;
@@ -41,23 +39,23 @@
     this.#limits = options.limits;
   }
 
-  /** Whether nothing runs or waits. */
+  /** Whether no dispatch is running or queued. */
   get isIdle(): boolean {
     return this.#running.size === 0 && this.#queued.size === 0;
   }
 
-  /** Takes over new limits; what runs already is left alone. */
+  /** Applies new limits; running dispatches are not affected. */
   updateLimits(limits: AdmissionLimits): void {
     this.#limits = limits;
   }
 
-  /** Decides on a dispatch that is not held yet. */
+  /** Admits, queues or refuses a new dispatch. */
   admit(dispatch: Dispatch): SlotResult {
     if (dispatch.trafficClass === 'interactive') return this.#admitInteractive(dispatch);
     return this.#admitTraining(dispatch);
   }
 
-  /** Ends a dispatch and names the queued ones that start now. */
+  /** Removes a dispatch and returns the identifiers of the queued ones that start now. */
   release(dispatchId: string, now: Milliseconds): readonly string[] {
     const finished = this.#running.remove(dispatchId);
     if (finished === undefined) this.#queued.remove(dispatchId);
@@ -65,31 +63,31 @@
     return this.#startQueued(now);
   }
 
-  /** Whether a dispatch is running, waiting or not held. */
+  /** State of a dispatch; `absent` for an unknown one. */
   stateOf(dispatchId: string): 'running' | 'queued' | 'absent' {
     if (this.#running.get(dispatchId) !== undefined) return 'running';
     return this.#queued.get(dispatchId) === undefined ? 'absent' : 'queued';
   }
 
-  /** What is outstanding, and how much more training work would be taken. */
+  /** Outstanding dispatches, and the further training dispatches that would be accepted. */
   counts(): OutstandingCounts {
-    const trainingHeld = this.#running.training + this.#queued.training;
-    const trainingRoom = this.#trainingLimit + this.#queueLimit - trainingHeld;
-    const held = this.#running.size + this.#queued.size;
-    const room = this.#runningLimit + this.#queueLimit - held;
+    const outstandingTraining = this.#running.training + this.#queued.training;
+    const freeTraining = this.#trainingLimit + this.#queueLimit - outstandingTraining;
+    const outstanding = this.#running.size + this.#queued.size;
+    const free = this.#runningLimit + this.#queueLimit - outstanding;
     return {
-      outstanding: held,
+      outstanding,
       interactiveOutstanding: this.#running.interactive + this.#queued.interactive,
-      queueFree: Math.max(0, Math.min(trainingRoom, room)),
+      queueFree: Math.max(0, Math.min(freeTraining, free)),
     };
   }
 
-  /** Ids of all dispatches held, running ones first. */
+  /** Identifiers of all dispatches, running ones first. */
   dispatchIds(): readonly string[] {
     return [...this.#running.ids(), ...this.#queued.ids()];
   }
 
-  /** Slots training may take; at least one, as interactive work can preempt it. */
+  /** Slots available to training; at least one, as interactive work can preempt it. */
   get #trainingLimit(): number {
     const reserved = this.#limits.reservedShares.get(this.worker.model) ?? 0;
     return Math.max(1, Math.floor(this.#runningLimit * (1 - reserved)));
@@ -111,20 +109,20 @@
     return this.#refuse(this.#queued.interactive);
   }
 
-  /** A free slot is never left empty; the shares rule the queue, and the queue rules the slots. */
+  /** Fair shares apply to queueing only: without a queue, a free slot is used at once. */
   #admitTraining(dispatch: Dispatch): SlotResult {
     if (this.#queued.training === 0 && this.#hasTrainingSlot) return this.#start(dispatch, null);
-    if (this.#isOverShare(dispatch.account)) return this.#refuse(this.#queued.training);
-    const hasPlace = this.#queued.training < this.#queueLimit;
-    const ownPlaceIsFree = this.#queued.trainingOf(dispatch.account) === 0;
-    if (hasPlace || ownPlaceIsFree) return this.#enqueue(dispatch);
+    if (this.#exceedsShare(dispatch.account)) return this.#refuse(this.#queued.training);
+    const hasQueueSlot = this.#queued.training < this.#queueLimit;
+    const isFirstOfAccount = this.#queued.trainingOf(dispatch.account) === 0;
+    if (hasQueueSlot || isFirstOfAccount) return this.#enqueue(dispatch);
     return this.#refuse(this.#queued.training);
   }
 
-  /** Whether one more would take an account over its max-min share of the training places. */
-  #isOverShare(account: AccountName): boolean {
-    const places = this.#trainingLimit + this.#queueLimit;
-    const wanted = this.#heldBy(account) + 1;
+  /** Whether one more dispatch exceeds the max-min share of an account of training slots and queue. */
+  #exceedsShare(account: AccountName): boolean {
+    const slots = this.#trainingLimit + this.#queueLimit;
+    const requested = this.#outstandingTrainingOf(account) + 1;
     const names = new Set([
       account,
       ...this.#running.trainingByAccount.keys(),
@@ -132,14 +130,14 @@
     ]);
     const demands = [...names].map((name) => ({
       account: name,
-      demand: name === account ? wanted : this.#heldBy(name),
+      demand: name === account ? requested : this.#outstandingTrainingOf(name),
       weight: this.#weightOf(name),
     }));
-    const share = maxMinShares(places, demands).get(account) ?? 0;
-    return wanted > Math.ceil(share);
+    const share = maxMinShares(slots, demands).get(account) ?? 0;
+    return requested > Math.ceil(share);
   }
 
-  #heldBy(account: AccountName): number {
+  #outstandingTrainingOf(account: AccountName): number {
     return this.#running.trainingOf(account) + this.#queued.trainingOf(account);
   }
 
@@ -164,7 +162,7 @@
     return this.#hasTrainingSlot ? this.#fairestQueued() : undefined;
   }
 
-  /** The first dispatch of the account with the fewest running for its weight. */
+  /** The first queued dispatch of the account with the fewest running dispatches per weight. */
   #fairestQueued(): Dispatch | undefined {
     let fairest: Dispatch | undefined;
     let lowest = Number.POSITIVE_INFINITY;
@@ -189,6 +187,6 @@
   }
 
   #refuse(ahead: number): SlotResult {
-    return { kind: 'refused', retryAfter: this.#rate.waitFor(ahead, this.#running.size) };
+    return { kind: 'refused', retryAfter: this.#rate.estimateWait(ahead, this.#running.size) };
   }
 }
--- a/src/routing/worker-subset.ts
+++ b/src/routing/worker-subset.ts
@@ -1,16 +1,16 @@
 /**
- * Deterministic subsetting, after the deterministic aperture of Finagle: clients and workers are
- * put on one ring at even distances, and each client takes the workers from its place onwards.
- * One client more or less moves each subset by less than the gap between two clients.
+ * Deterministic subsetting, after the deterministic aperture of Finagle: clients and workers have
+ * even positions on one ring, and each client takes the workers that follow its position. Adding or
+ * removing one client moves each subset by less than the distance between two clients.
  */
 
 /**
  * The subset of one client.
  *
- * @param items all workers, in an order that all clients agree on
- * @param rank place of the client among the clients, from 0
+ * @param items all workers, in the same order for all clients
+ * @param rank position of the client among the clients, from 0
  * @param clientCount number of clients, at least 1
- * @param size largest subset; the subsets cover all items if `size * clientCount >= items.length`
+ * @param size maximum size of a subset; the subsets cover all items if `size * clientCount >= items.length`
  */
 export function subsetOf<Item>(
   items: readonly Item[],
--- a/src/routing/zone-homes.ts
+++ b/src/routing/zone-homes.ts
@@ -1,7 +1,6 @@
 /**
- * The home node of each worker of one zone: the live node with the highest random weight for the
- * worker (Thaler and Ravishankar, 1998). Names are hashed once and mixed as numbers, as a zone may
- * hold thousands of workers and hundreds of nodes.
+ * Assigns each worker of a zone to a home node by rendezvous hashing (Thaler and Ravishankar, 1998).
+ * Names are hashed once and mixed as numbers, since a zone may have thousands of workers.
  */
 import { placementHash } from '../core/hashing.js';
 import type { NodeId, NodeRecord, WorkerId } from '../core/identity.js';
@@ -12,38 +11,38 @@
   readonly hash: number;
 }
 
-/** The best node found for a worker. */
+/** The node with the highest score for a worker. */
 interface Home {
   readonly workerHash: number;
   node: ScoredNode;
   score: number;
 }
 
-/** Mixes two 32-bit hashes into one (finalizer of MurmurHash3). */
+/** Mixes two 32-bit hashes into one score (finalizer of MurmurHash3). */
 function weightOf(workerHash: number, nodeHash: number): number {
   let mixed = Math.imul(workerHash ^ nodeHash, 0x85ebca6b);
   mixed = Math.imul(mixed ^ (mixed >>> 13) ^ workerHash, 0xc2b2ae35);
   return (mixed ^ (mixed >>> 16)) >>> 0;
 }
 
-/** Whether a node goes before the best one so far; equal weights go by name. */
+/** Whether a node precedes the current home; names break ties. */
 function isBetter(node: ScoredNode, score: number, home: Home): boolean {
   if (score !== home.score) return score > home.score;
   return node.record.node < home.node.record.node;
 }
 
-/** Homes of the workers of one zone, kept up to date as nodes come and go. */
+/** Homes of the workers of one zone, updated as nodes start and terminate. */
 export class ZoneHomes {
   readonly #nodes = new Map<NodeId, ScoredNode>();
   readonly #homes = new Map<WorkerId, Home>();
   #source: readonly NodeRecord[] = [];
 
-  /** Live nodes, in no particular order. */
+  /** Number of live nodes. */
   get nodeCount(): number {
     return this.#nodes.size;
   }
 
-  /** Place of a node in the order of names; `undefined` where it is not live. */
+  /** Position of a node in the order of names; `undefined` where it is not live. */
   rankOf(node: NodeId): number | undefined {
     if (!this.#nodes.has(node)) return undefined;
     let rank = 0;
@@ -51,25 +50,25 @@
     return rank;
   }
 
-  /** Takes in the live nodes; true where any node or life of a node changed. */
+  /** Applies the live nodes; returns whether any node or incarnation changed. */
   update(nodes: readonly NodeRecord[]): boolean {
     if (nodes === this.#source) return false;
     this.#source = nodes;
-    const newest = newestLives(nodes);
+    const newest = newestIncarnations(nodes);
     const removed = this.#removeAbsent(newest);
     const added: ScoredNode[] = [];
-    let renewed = false;
+    let restarted = false;
     for (const record of newest.values()) {
       const known = this.#nodes.get(record.node);
       if (known === undefined) added.push(this.#add(record));
-      else if (known.record.incarnation !== record.incarnation) renewed = true;
+      else if (known.record.incarnation !== record.incarnation) restarted = true;
       if (known !== undefined) known.record = record;
     }
     if (removed.size > 0 || added.length > 0) this.#reassign(removed, added);
-    return renewed || removed.size > 0 || added.length > 0;
+    return restarted || removed.size > 0 || added.length > 0;
   }
 
-  /** The home of a worker; `undefined` where no node of the zone is live. */
+  /** The home of a worker; `undefined` where the zone has no live node. */
   homeOf(worker: WorkerId): NodeRecord | undefined {
     const known = this.#homes.get(worker);
     if (known !== undefined) return known.node.record;
@@ -79,7 +78,7 @@
     return home.node.record;
   }
 
-  /** Forgets workers that are not in the machine list any more. */
+  /** Removes workers that are no longer in the machine list. */
   retain(exists: (worker: WorkerId) => boolean): void {
     for (const worker of this.#homes.keys()) if (!exists(worker)) this.#homes.delete(worker);
   }
@@ -108,7 +107,7 @@
         else this.#homes.set(worker, next);
         continue;
       }
-      for (const node of added) offer(home, node);
+      for (const node of added) replaceIfBetter(home, node);
     }
   }
 
@@ -116,20 +115,20 @@
     let home: Home | undefined;
     for (const node of this.#nodes.values()) {
       if (home === undefined) home = { workerHash, node, score: weightOf(workerHash, node.hash) };
-      else offer(home, node);
+      else replaceIfBetter(home, node);
     }
     return home;
   }
 }
 
-function offer(home: Home, node: ScoredNode): void {
+function replaceIfBetter(home: Home, node: ScoredNode): void {
   const score = weightOf(home.workerHash, node.hash);
   if (!isBetter(node, score, home)) return;
   home.node = node;
   home.score = score;
 }
 
-function newestLives(nodes: readonly NodeRecord[]): ReadonlyMap<NodeId, NodeRecord> {
+function newestIncarnations(nodes: readonly NodeRecord[]): ReadonlyMap<NodeId, NodeRecord> {
   const newest = new Map<NodeId, NodeRecord>();
   for (const record of nodes) {
     const known = newest.get(record.node);
--- a/src/settings/live-settings.ts
+++ b/src/settings/live-settings.ts
@@ -7,7 +7,7 @@
 import type { Milliseconds } from '../core/units.js';
 import type { DecisionLog } from '../telemetry/decision-log.js';
 
-const DEFAULT_LOOK_INTERVAL: Milliseconds = 5_000;
+const DEFAULT_POLL_INTERVAL: Milliseconds = 5_000;
 
 /** Why settings were read again. */
 export type ReloadCause = 'signal' | 'file';
@@ -21,18 +21,18 @@
   /** Keys that take effect at once; a change of any other needs a restart, and the log says so. */
   readonly reloadable: readonly (keyof Settings & string)[];
   /** Time between two looks at the file. @default 5,000 ms */
-  readonly lookInterval?: Milliseconds;
+  readonly pollInterval?: Milliseconds;
 }
 
 /** Holds the settings in force. */
 export class LiveSettings<Settings extends object> {
   private settings: Settings;
   /** State of the file before it was last read, so that no later change is missed. */
-  private seen: string;
+  private lastFileState: string;
   private timer: NodeJS.Timeout | undefined;
 
   constructor(private readonly options: LiveSettingsOptions<Settings>) {
-    this.seen = fileState(options.path);
+    this.lastFileState = fileState(options.path);
     this.settings = options.read(options.path);
   }
 
@@ -43,8 +43,8 @@
 
   /** Follows the file until {@link unwatch}. */
   watch(): void {
-    const { lookInterval = DEFAULT_LOOK_INTERVAL } = this.options;
-    this.timer = setInterval(() => this.look(), lookInterval);
+    const { pollInterval = DEFAULT_POLL_INTERVAL } = this.options;
+    this.timer = setInterval(() => this.poll(), pollInterval);
     this.timer.unref();
   }
 
@@ -56,18 +56,18 @@
   /** Reads the file again; the settings in force stay where it can't be used. */
   reload(cause: ReloadCause): void {
     const { path, read, log, reloadable } = this.options;
-    this.seen = fileState(path);
-    let fresh: Settings;
+    this.lastFileState = fileState(path);
+    let loaded: Settings;
     try {
-      fresh = read(path);
+      loaded = read(path);
     } catch (error) {
       log.state('settings-rejected', { cause, problem: String(error) });
       return;
     }
-    const changed = this.changedKeys(fresh);
+    const changed = this.changedKeys(loaded);
     const ignored = changed.filter((key) => !reloadable.includes(key));
-    const taken = Object.fromEntries(reloadable.map((key) => [key, fresh[key]]));
-    this.settings = { ...this.settings, ...taken };
+    const applied = Object.fromEntries(reloadable.map((key) => [key, loaded[key]]));
+    this.settings = { ...this.settings, ...applied };
     log.state('settings-reloaded', {
       cause,
       changed: changed.join(' '),
@@ -75,13 +75,13 @@
     });
   }
 
-  private look(): void {
-    if (fileState(this.options.path) !== this.seen) this.reload('file');
+  private poll(): void {
+    if (fileState(this.options.path) !== this.lastFileState) this.reload('file');
   }
 
-  private changedKeys(fresh: Settings): (keyof Settings & string)[] {
-    const keys = Object.keys(fresh) as (keyof Settings & string)[];
-    return keys.filter((key) => !isDeepStrictEqual(fresh[key], this.settings[key]));
+  private changedKeys(loaded: Settings): (keyof Settings & string)[] {
+    const keys = Object.keys(loaded) as (keyof Settings & string)[];
+    return keys.filter((key) => !isDeepStrictEqual(loaded[key], this.settings[key]));
   }
 }
 
--- a/src/settings/load-settings.ts
+++ b/src/settings/load-settings.ts
@@ -8,7 +8,7 @@
 import { checkSettings, type WrittenSettings } from './settings-schema.js';
 
 /** Fewest characters of the peer token. */
-const SHORTEST_TOKEN = 16;
+const MIN_TOKEN_LENGTH = 16;
 
 /** Environment variables by name. */
 export type Environment = Readonly<Record<string, string | undefined>>;
@@ -58,7 +58,7 @@
   environment: Environment,
 ): Result<string, readonly SchemaProblem[]> {
   const { token_file: file, token_variable: variable } = written.peers;
-  const accepted = `a token of at least ${SHORTEST_TOKEN} characters`;
+  const accepted = `a token of at least ${MIN_TOKEN_LENGTH} characters`;
   const key = file === undefined ? 'peers.token_variable' : 'peers.token_file';
   const found: Result<string, readonly SchemaProblem[]> =
     file === undefined
@@ -68,7 +68,7 @@
         );
   return found.andThen((text) => {
     const token = text.trim();
-    if (token.length >= SHORTEST_TOKEN) return Result.ok<string, readonly SchemaProblem[]>(token);
+    if (token.length >= MIN_TOKEN_LENGTH) return Result.ok<string, readonly SchemaProblem[]>(token);
     const reason = token === '' ? 'no token is there' : 'the token is too short';
     return Result.err<string, readonly SchemaProblem[]>([{ key, reason, accepted }]);
   });
--- a/src/settings/schema-problems.ts
+++ b/src/settings/schema-problems.ts
@@ -95,19 +95,19 @@
 
 /** The schemas met along a path, from the outermost on; stops where the path leaves the schema. */
 function schemasAlong(schema: z.ZodType, path: readonly PropertyKey[]): z.ZodType[] {
-  const met = [schema];
-  for (const step of path) {
-    const current = unwrap(met.at(-1));
+  const visited = [schema];
+  for (const segment of path) {
+    const current = unwrap(visited.at(-1));
     const next =
       current instanceof z.ZodObject
-        ? (current.shape[String(step)] as z.ZodType | undefined)
+        ? (current.shape[String(segment)] as z.ZodType | undefined)
         : current instanceof z.ZodArray
           ? (current.element as z.ZodType)
           : undefined;
     if (next === undefined) break;
-    met.push(next);
+    visited.push(next);
   }
-  return met;
+  return visited;
 }
 
 /** The description of a schema, or of the nearest schema inside it that has one. */
@@ -135,9 +135,9 @@
 
 function valueAt(document: unknown, path: readonly PropertyKey[]): unknown {
   return path.reduce<unknown>(
-    (value, step) =>
+    (value, segment) =>
       typeof value === 'object' && value !== null
-        ? (value as Record<PropertyKey, unknown>)[step]
+        ? (value as Record<PropertyKey, unknown>)[segment]
         : undefined,
     document,
   );
@@ -146,9 +146,9 @@
 function pathText(path: readonly PropertyKey[]): string {
   if (path.length === 0) return '(document)';
   return path
-    .map((step, position) => {
-      if (typeof step === 'number') return `[${step}]`;
-      return position === 0 ? String(step) : `.${String(step)}`;
+    .map((segment, index) => {
+      if (typeof segment === 'number') return `[${segment}]`;
+      return index === 0 ? String(segment) : `.${String(segment)}`;
     })
     .join('');
 }
--- a/src/settings/settings-schema.ts
+++ b/src/settings/settings-schema.ts
@@ -8,7 +8,7 @@
 import { KIBIBYTE, MEBIBYTE } from '../core/units.js';
 import { checkDocument, durationField, nameField, type SchemaProblem } from './schema-problems.js';
 
-const LARGEST_PORT = 65_535;
+const MAX_PORT = 65_535;
 
 const nameSchema = nameField();
 
@@ -116,7 +116,7 @@
 function zoneProblems(written: WrittenSettings): SchemaProblem[] {
   const { node, fleet } = written;
   const names = fleet.zones.map((zone) => zone.name);
-  const problems = repeatedNames(names).map((name) => ({
+  const problems = duplicatesIn(names).map((name) => ({
     key: 'fleet.zones',
     reason: `the zone "${name}" is named twice`,
     accepted: 'each zone once',
@@ -133,8 +133,8 @@
 }
 
 function accountProblems(written: WrittenSettings): SchemaProblem[] {
-  const names = repeatedNames(written.accounts.map((account) => account.name));
-  const digests = repeatedNames(written.accounts.map((account) => account.token_digest));
+  const names = duplicatesIn(written.accounts.map((account) => account.name));
+  const digests = duplicatesIn(written.accounts.map((account) => account.token_digest));
   return [
     ...names.map((name) => ({
       key: 'accounts',
@@ -149,18 +149,18 @@
   ];
 }
 
-function repeatedNames(names: readonly string[]): string[] {
-  return [...new Set(names.filter((name, place) => names.indexOf(name) !== place))];
+function duplicatesIn(names: readonly string[]): string[] {
+  return [...new Set(names.filter((name, index) => names.indexOf(name) !== index))];
 }
 
-function wholeNumber(least: number, most: number): z.ZodInt {
-  return z.int().min(least).max(most).describe(`a whole number from ${least} to ${most}`);
+function wholeNumber(minimum: number, maximum: number): z.ZodInt {
+  return z.int().min(minimum).max(maximum).describe(`a whole number from ${minimum} to ${maximum}`);
 }
 
-function duration(standard: string) {
+function duration(defaultValue: string) {
   return durationField()
     .refine((value) => value > 0, 'this must be longer than nothing')
-    .prefault(standard);
+    .prefault(defaultValue);
 }
 
 function isEndpoint(text: string): boolean {
@@ -169,5 +169,5 @@
   const port = Number(match[3]);
   const address = match[1] ?? match[2] ?? '';
   const version = match[1] === undefined ? 4 : 6;
-  return isIP(address) === version && port >= 1 && port <= LARGEST_PORT;
+  return isIP(address) === version && port >= 1 && port <= MAX_PORT;
 }
--- a/src/telemetry/counters.ts
+++ b/src/telemetry/counters.ts
@@ -19,7 +19,7 @@
  * Time between two samples of the event loop's delay, in milliseconds. The library's default of 10
  * wakes an idle process a hundred times a second. Its percentiles of the delay include this time.
  */
-const EVENT_LOOP_SAMPLE_INTERVAL = 50;
+const EVENT_LOOP_SAMPLE_INTERVAL_MS = 50;
 
 /** Counters and gauges of one node, in a registry of their own. */
 export class NodeCounters {
@@ -33,7 +33,7 @@
     if (options.withProcessMetrics !== true) return;
     collectDefaultMetrics({
       register: this.#registry,
-      eventLoopMonitoringPrecision: EVENT_LOOP_SAMPLE_INTERVAL,
+      eventLoopMonitoringPrecision: EVENT_LOOP_SAMPLE_INTERVAL_MS,
     });
   }
 
--- a/src/telemetry/decision-log.ts
+++ b/src/telemetry/decision-log.ts
@@ -24,12 +24,12 @@
 const DEFAULT_LINES_PER_SECOND = 60;
 
 /** Bytes that wait for a reader at most; beyond it lines are dropped. */
-const MAXIMUM_BUFFERED_BYTES = 1_048_576;
+const MAX_BUFFERED_BYTES = 1_048_576;
 
 /** Writes decisions and changes of state. */
 export class DecisionLog {
   private readonly logger: Logger;
-  private readonly limit: number;
+  private readonly linesPerWindow: number;
   private windowStart = 0;
   private linesInWindow = 0;
   private readonly dropped = new Map<string, number>();
@@ -41,9 +41,9 @@
     };
     const destination =
       options.destination ??
-      pino.destination({ sync: false, maxLength: MAXIMUM_BUFFERED_BYTES, minLength: 0 });
+      pino.destination({ sync: false, maxLength: MAX_BUFFERED_BYTES, minLength: 0 });
     this.logger = pino(settings, destination);
-    this.limit = options.linesPerSecond ?? DEFAULT_LINES_PER_SECOND;
+    this.linesPerWindow = options.linesPerSecond ?? DEFAULT_LINES_PER_SECOND;
   }
 
   /** A change of what the process believes; always written, as such changes are few. */
@@ -53,8 +53,8 @@
 
   /** A decision about one request or item; counted instead where the budget is used up. */
   decision(event: string, details: ChangeDetails): void {
-    this.openWindow();
-    if (this.linesInWindow >= this.limit) {
+    this.startWindowIfDue();
+    if (this.linesInWindow >= this.linesPerWindow) {
       this.dropped.set(event, (this.dropped.get(event) ?? 0) + 1);
       return;
     }
@@ -67,7 +67,7 @@
     this.logger.error({ err: error }, event);
   }
 
-  private openWindow(): void {
+  private startWindowIfDue(): void {
     const now = this.options.clock.now();
     if (now - this.windowStart < SECOND) return;
     this.windowStart = now;
--- a/src/telemetry/explain-log.ts
+++ b/src/telemetry/explain-log.ts
@@ -18,7 +18,7 @@
   /** Ring of records; {@link #next} is the place written next, and the oldest once it is full. */
   readonly #ring: ExplainRecord[] = [];
   readonly #bySubject = new Map<string, ExplainRecord[]>();
-  #next = 0;
+  #nextIndex = 0;
 
   constructor(options: ExplainLogOptions = {}) {
     this.#capacity = Math.max(1, options.capacity ?? DEFAULT_CAPACITY);
@@ -31,10 +31,10 @@
 
   /** Keeps a record, dropping the oldest one when full. */
   add(record: ExplainRecord): void {
-    const dropped = this.#ring[this.#next];
-    if (dropped !== undefined) this.#drop(dropped);
-    this.#ring[this.#next] = record;
-    this.#next = (this.#next + 1) % this.#capacity;
+    const oldest = this.#ring[this.#nextIndex];
+    if (oldest !== undefined) this.#removeFromIndex(oldest);
+    this.#ring[this.#nextIndex] = record;
+    this.#nextIndex = (this.#nextIndex + 1) % this.#capacity;
     const records = this.#bySubject.get(record.subject);
     if (records === undefined) this.#bySubject.set(record.subject, [record]);
     else records.push(record);
@@ -46,7 +46,7 @@
   }
 
   /** Drops the record from the index; as the oldest of all, it is the first of its subject. */
-  #drop(record: ExplainRecord): void {
+  #removeFromIndex(record: ExplainRecord): void {
     const records = this.#bySubject.get(record.subject);
     records?.shift();
     if (records?.length === 0) this.#bySubject.delete(record.subject);
--- a/src/telemetry/fleet-metrics.ts
+++ b/src/telemetry/fleet-metrics.ts
@@ -91,8 +91,8 @@
   store_seconds: { help: 'Time of calls to the shared store, watches apart', labels: ['call'] },
 } as const;
 
-const BUCKETS = [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10];
-const PREFIX = 'wardwing_fleet_';
+const DURATION_BUCKETS_SECONDS = [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10];
+const METRIC_PREFIX = 'wardwing_fleet_';
 const MILLISECONDS_PER_SECOND = 1_000;
 
 /** Name of a counter. */
@@ -115,18 +115,26 @@
   constructor() {
     const registers = [this.registry];
     for (const [name, { help, labels }] of Object.entries(COUNTERS)) {
-      const options = { name: `${PREFIX}${name}_total`, help, labelNames: [...labels], registers };
+      const options = {
+        name: `${METRIC_PREFIX}${name}_total`,
+        help,
+        labelNames: [...labels],
+        registers,
+      };
       this.counters.set(name as FleetCounter, new Counter(options));
     }
     for (const [name, { help }] of Object.entries(GAUGES)) {
-      this.gauges.set(name as FleetGauge, new Gauge({ name: `${PREFIX}${name}`, help, registers }));
+      this.gauges.set(
+        name as FleetGauge,
+        new Gauge({ name: `${METRIC_PREFIX}${name}`, help, registers }),
+      );
     }
     for (const [name, { help, labels }] of Object.entries(HISTOGRAMS)) {
       const options = {
-        name: `${PREFIX}${name}`,
+        name: `${METRIC_PREFIX}${name}`,
         help,
         labelNames: [...labels],
-        buckets: BUCKETS,
+        buckets: DURATION_BUCKETS_SECONDS,
         registers,
       };
       this.histograms.set(name as FleetHistogram, new Histogram(options));
--- a/src/telemetry/log-trace.ts
+++ b/src/telemetry/log-trace.ts
@@ -44,7 +44,7 @@
 const ITEM_EVENTS = new Set(['item-run-completed', 'item-run-ended']);
 
 /** Time before and after the subject's own lines from which context is told, in milliseconds. */
-const CONTEXT_WINDOW = 3_000;
+const CONTEXT_WINDOW_MS = 3_000;
 
 /** Fields of every line that are told apart from the others. */
 const COMMON_FIELDS = new Set(['level', 'time', 'node', 'zone', 'msg']);
@@ -70,23 +70,25 @@
 
 /** The lines that tell what became of a subject, in order of time; empty where none names it. */
 export function traceSubject(lines: readonly LogLine[], subject: string): TraceLine[] {
-  const own = lines.filter((line) => Object.values(line.fields).includes(subject));
-  if (own.length === 0) return [];
-  const ownLines = new Set(own);
-  const jobs = new Set(own.map((line) => line.fields.job).filter((job) => job !== undefined));
-  const workers = new Set(own.map((line) => line.fields.worker));
-  const nodes = new Set(own.map((line) => line.node));
-  const times = own.map((line) => line.at);
-  const from = Math.min(...times) - CONTEXT_WINDOW;
-  const until = Math.max(...times) + CONTEXT_WINDOW;
+  const subjectLines = lines.filter((line) => Object.values(line.fields).includes(subject));
+  if (subjectLines.length === 0) return [];
+  const subjectLineSet = new Set(subjectLines);
+  const jobs = new Set(
+    subjectLines.map((line) => line.fields.job).filter((job) => job !== undefined),
+  );
+  const workers = new Set(subjectLines.map((line) => line.fields.worker));
+  const nodes = new Set(subjectLines.map((line) => line.node));
+  const times = subjectLines.map((line) => line.at);
+  const from = Math.min(...times) - CONTEXT_WINDOW_MS;
+  const until = Math.max(...times) + CONTEXT_WINDOW_MS;
   const relationOf = (line: LogLine): TraceRelation | undefined => {
-    if (ownLines.has(line)) return 'subject';
+    if (subjectLineSet.has(line)) return 'subject';
     const job = line.fields.job;
     if (job !== undefined && jobs.has(job) && !ITEM_EVENTS.has(line.event)) return 'job';
     if (!CONTEXT_EVENTS.has(line.event) || line.at < from || line.at > until) return undefined;
     const worker = line.fields.worker;
-    const concerns = worker === undefined ? nodes.has(line.node) : workers.has(worker);
-    return concerns && (worker === undefined || nodes.has(line.node)) ? 'context' : undefined;
+    const isRelated = worker === undefined ? nodes.has(line.node) : workers.has(worker);
+    return isRelated && (worker === undefined || nodes.has(line.node)) ? 'context' : undefined;
   };
   return lines
     .flatMap((line) => {
--- a/src/telemetry/node-metrics.ts
+++ b/src/telemetry/node-metrics.ts
@@ -10,7 +10,7 @@
 import type { NodeCounters } from './counters.js';
 
 /** Prefix of all metrics. */
-const PREFIX = 'wardwing_';
+const METRIC_PREFIX = 'wardwing_';
 
 /** The state of a node at one moment. */
 export interface NodeGauges {
@@ -35,7 +35,7 @@
 }
 
 /** A value that only rises. */
-interface RisingValue {
+interface MonotonicValue {
   readonly name: string;
   readonly help: string;
   readonly read: () => number;
@@ -92,10 +92,10 @@
     counters.set('wardwing_groups_under_strength', {}, gauges.groupsUnderStrength);
   }
 
-  private add(value: RisingValue): void {
+  private add(value: MonotonicValue): void {
     const registry: Registry = this.counters.registry;
     new Counter({
-      name: `${PREFIX}${value.name}_total`,
+      name: `${METRIC_PREFIX}${value.name}_total`,
       help: value.help,
       registers: [registry],
       collect(): void {
--- a/test/cli/program.test.ts
+++ b/test/cli/program.test.ts
@@ -174,15 +174,16 @@
 });
 
 t.test('confirm --wait reports each zone when it is in force, and a cut-off one', async (t) => {
-  let looks = 0;
+  let statusRequests = 0;
   const silent = { lowestRevision: null, nodes: 2, answered: 0, fresh: false };
   const zone = (lowestRevision: number) => ({ lowestRevision, nodes: 2, fresh: true });
   const server = await startServer(({ line }) => {
     if (line.startsWith('POST')) return [202, { revision: 20 }];
-    looks += 1;
-    // At the first look a node of the zone is silent, and may be behind.
-    const abdali = looks >= 2 ? zone(20) : { ...zone(looks === 1 ? 20 : 19), answered: 1 };
-    return [200, { zones: { abdali, marka: looks >= 3 ? zone(21) : silent } }];
+    statusRequests += 1;
+    // The first status lacks the answer of one node, whose revision may be lower.
+    const abdali =
+      statusRequests >= 2 ? zone(20) : { ...zone(statusRequests === 1 ? 20 : 19), answered: 1 };
+    return [200, { zones: { abdali, marka: statusRequests >= 3 ? zone(21) : silent } }];
   });
   const words = ['intent', 'confirm', 'p', '--wait', '--json', '--endpoint', server.endpoint];
   const result = await run(words);
@@ -194,7 +195,7 @@
       { zone: 'marka', state: 'in-force', revision: 21, after_ms: 1_000 },
     ],
   );
-  looks = Number.NEGATIVE_INFINITY;
+  statusRequests = Number.NEGATIVE_INFINITY;
   const late = await run([...words, '--wait-timeout', '2s']);
   t.equal(late.code, 4, 'not seen in force');
   t.match(
--- a/test/routing/home-admission.test.ts
+++ b/test/routing/home-admission.test.ts
@@ -19,53 +19,53 @@
   for (let at = 0; at < count; at += 1) admission.admit(training(`${account}-${at}`, account), at);
 }
 
-t.test(
-  'a full worker refuses at once as not run, and says when a slot is likely free',
-  async (t) => {
-    const admission = new HomeAdmission();
-    fill(admission, 10);
-    t.same(admission.counts(worker), { outstanding: 10, interactiveOutstanding: 0, queueFree: 0 });
-    const result = admission.admit(training('late'), 100);
-    if (result.kind !== 'refused') return t.fail('not refused');
-    t.equal(result.failure.kind, 'overloaded');
-    t.equal(ranStateOf(result.failure), 'no');
-    t.equal(admission.stateOf('late'), 'absent', 'nothing is kept of it');
-    t.equal(admission.counts(worker).outstanding, 10);
-    const before = retryAfterOf(result.failure) ?? 0;
-    for (let at = 0; at < 8; at += 1) {
-      for (const id of admission.dispatchesOf('worker').slice(0, 1)) admission.release(id, 40_000);
-      admission.admit(training(`slow-${at}`), 40_000);
-    }
-    const slower = admission.admit(training('later'), 40_000);
-    if (slower.kind !== 'refused') return t.fail('not refused');
-    t.ok((retryAfterOf(slower.failure) ?? 0) > before, 'slower service means coming back later');
-  },
-);
+t.test('a full worker refuses at once as not run, with an estimated retry delay', async (t) => {
+  const admission = new HomeAdmission();
+  fill(admission, 10);
+  t.same(admission.counts(worker), { outstanding: 10, interactiveOutstanding: 0, queueFree: 0 });
+  const result = admission.admit(training('late'), 100);
+  if (result.kind !== 'refused') return t.fail('not refused');
+  t.equal(result.failure.kind, 'overloaded');
+  t.equal(ranStateOf(result.failure), 'no');
+  t.equal(admission.stateOf('late'), 'absent', 'no state is stored for it');
+  t.equal(admission.counts(worker).outstanding, 10);
+  const before = retryAfterOf(result.failure) ?? 0;
+  for (let at = 0; at < 8; at += 1) {
+    for (const id of admission.dispatchesOf('worker').slice(0, 1)) admission.release(id, 40_000);
+    admission.admit(training(`slow-${at}`), 40_000);
+  }
+  const slower = admission.admit(training('later'), 40_000);
+  if (slower.kind !== 'refused') return t.fail('not refused');
+  t.ok((retryAfterOf(slower.failure) ?? 0) > before, 'slower service gives a longer retry delay');
+});
 
 t.test('interactive work preempts the youngest training dispatch', async (t) => {
   const admission = new HomeAdmission();
   fill(admission, 10);
   t.same(admission.admit(interactive('lookup'), 50), { kind: 'admitted', preempt: 'trainer-7' });
   t.equal(admission.stateOf('trainer-7'), 'absent');
-  t.same(admission.release('trainer-7', 60), [], 'the cancelled one frees nothing twice');
-  t.same(admission.release('lookup', 70), ['trainer-8'], 'the queue moves up');
+  t.same(admission.release('trainer-7', 60), [], 'releasing the preempted one starts nothing');
+  t.same(admission.release('lookup', 70), ['trainer-8'], 'the next queued one starts');
 });
 
-t.test('training never takes the reserve, and interactive work then preempts nobody', async (t) => {
-  const admission = new HomeAdmission();
-  const reservedShares = new Map([[MODEL, 0.25]]);
-  admission.updateLimits({ reservedShares, accountWeights: new Map() });
-  fill(admission, 20);
-  const running = admission
-    .dispatchesOf('worker')
-    .filter((id) => admission.stateOf(id) === 'running');
-  t.equal(running.length, 6);
-  t.same(admission.admit(interactive('lookup-1'), 50), { kind: 'admitted', preempt: null });
-  t.same(admission.admit(interactive('lookup-2'), 50), { kind: 'admitted', preempt: null });
-  t.match(admission.admit(interactive('lookup-3'), 50), { preempt: 'trainer-5' });
-});
+t.test(
+  'training leaves the reserve free, and interactive work in it preempts nothing',
+  async (t) => {
+    const admission = new HomeAdmission();
+    const reservedShares = new Map([[MODEL, 0.25]]);
+    admission.updateLimits({ reservedShares, accountWeights: new Map() });
+    fill(admission, 20);
+    const running = admission
+      .dispatchesOf('worker')
+      .filter((id) => admission.stateOf(id) === 'running');
+    t.equal(running.length, 6);
+    t.same(admission.admit(interactive('lookup-1'), 50), { kind: 'admitted', preempt: null });
+    t.same(admission.admit(interactive('lookup-2'), 50), { kind: 'admitted', preempt: null });
+    t.match(admission.admit(interactive('lookup-3'), 50), { preempt: 'trainer-5' });
+  },
+);
 
-t.test('interactive work alone fills slots and a short queue, then is refused', async (t) => {
+t.test('interactive work fills the slots and a short queue, then is refused', async (t) => {
   const admission = new HomeAdmission();
   const kinds = Array.from(
     { length: 11 },
@@ -76,11 +76,15 @@
   t.same(admission.release('i-0', 100), ['i-8']);
 });
 
-t.test('trainers come to shares by weight, and none is shut out', async (t) => {
+t.test('trainers converge to shares by weight, and each gets a share', async (t) => {
   const admission = new HomeAdmission();
   admission.updateLimits({ reservedShares: new Map(), accountWeights: new Map([['heavy', 3]]) });
   fill(admission, 10, 'heavy');
-  t.equal(admission.admit(training('light-0', 'light'), 10).kind, 'queued', 'not shut out');
+  t.equal(
+    admission.admit(training('light-0', 'light'), 10).kind,
+    'queued',
+    'the second trainer is queued',
+  );
   const owners = new Map<string, string>();
   let next = 0;
   for (let round = 0; round < 200; round += 1) {
@@ -102,31 +106,38 @@
 });
 
 t.test(
-  'with a full queue a trainer over its share is refused, and one under it waits',
+  'with a full queue a trainer above its share is refused, and one below it is queued',
   async (t) => {
     const admission = new HomeAdmission();
     fill(admission, 8, 'first');
     fill(admission, 2, 'second');
     t.equal(admission.admit(training('first-more', 'first'), 20).kind, 'refused');
     t.equal(admission.admit(training('third-0', 'third'), 20).kind, 'queued');
-    t.equal(admission.admit(training('third-1', 'third'), 20).kind, 'refused', 'one place only');
+    t.equal(
+      admission.admit(training('third-1', 'third'), 20).kind,
+      'refused',
+      'one queue slot only',
+    );
   },
 );
 
-t.test('a leaving worker is refused by its home, and a repeat is not admitted twice', async (t) => {
-  const leaving = new Set<string>();
-  const admission = new HomeAdmission({ isLeaving: (name) => leaving.has(name) });
-  t.equal(admission.admit(training('first'), 0).kind, 'admitted');
-  t.equal(admission.admit(training('first'), 0).kind, 'queued');
-  t.equal(admission.counts(worker).outstanding, 1);
-  leaving.add('worker');
-  t.match(admission.admit(interactive('second'), 1), {
-    failure: { kind: 'overloaded', ran: 'no' },
-  });
-  t.equal(admission.stateOf('first'), 'running', 'what runs goes on');
-});
+t.test(
+  'the home refuses dispatches to a leaving worker, and does not admit one twice',
+  async (t) => {
+    const leaving = new Set<string>();
+    const admission = new HomeAdmission({ isLeaving: (name) => leaving.has(name) });
+    t.equal(admission.admit(training('first'), 0).kind, 'admitted');
+    t.equal(admission.admit(training('first'), 0).kind, 'queued');
+    t.equal(admission.counts(worker).outstanding, 1);
+    leaving.add('worker');
+    t.match(admission.admit(interactive('second'), 1), {
+      failure: { kind: 'overloaded', ran: 'no' },
+    });
+    t.equal(admission.stateOf('first'), 'running', 'running work continues');
+  },
+);
 
-t.test('max-min shares use all that is asked for and wrong nobody', async () => {
+t.test('max-min shares use the capacity up to the total demand and are fair', async () => {
   const demand = fc.record({ demand: fc.nat(50), weight: fc.integer({ min: 1, max: 5 }) });
   fc.assert(
     fc.property(fc.nat(100), fc.array(demand, { maxLength: 6 }), (capacity, specs) => {
@@ -146,7 +157,7 @@
   );
 });
 
-t.test('bounds and counts hold under any order of events', async () => {
+t.test('limits and counts hold under any order of events', async () => {
   const event = fc.record({
     kind: fc.constantFrom('training', 'interactive', 'release', 'release'),
     account: fc.constantFrom('a', 'b', 'c'),
--- a/test/routing/limits.test.ts
+++ b/test/routing/limits.test.ts
@@ -8,7 +8,7 @@
 import { RetryBudget } from '../../src/routing/retry-budget.js';
 import { createRoutingPolicies } from '../../src/routing/routing-policies.js';
 
-t.test('retries stay within a share of the traffic and a minimum', async () => {
+t.test('the retry budget is a share of the traffic plus a minimum rate', async () => {
   const call = fc.record({ retries: fc.nat(5), wait: fc.nat(20) });
   fc.assert(
     fc.property(fc.array(call, { maxLength: 300 }), (calls) => {
@@ -26,14 +26,14 @@
   );
 });
 
-t.test('a budget saves up no more than its limit', async (t) => {
+t.test('the balance of a retry budget is limited', async (t) => {
   const budget = new RetryBudget({ maximumBalance: 3 }, 0);
   t.equal(budget.balance(3_600_000), 3);
   for (let at = 0; at < 3; at += 1) t.ok(budget.tryRetry(3_600_000));
   t.notOk(budget.tryRetry(3_600_000));
 });
 
-t.test('backoff grows to its limit, is spread out, and keeps what was asked for', async (t) => {
+t.test('backoff grows to its limit, is jittered, and adds the requested delay', async (t) => {
   const random = createRandomSource(1);
   const drawn = Array.from({ length: 500 }, () => backoffDelay(3, random));
   t.ok(drawn.every((delay) => delay >= 0 && delay <= 400));
@@ -42,7 +42,7 @@
   t.ok(backoffDelay(0, random, {}, 1_000) >= 1_000);
 });
 
-t.test('ejections grow, are jittered, and are forgotten after quiet', async (t) => {
+t.test('ejections grow, are jittered, and decay after a period without failures', async (t) => {
   const lengthOf = (seed: number, ejections: number, quiet = 0) => {
     const detector = new OutlierDetector({ random: createRandomSource(seed) });
     const now = 1_000_000;
@@ -59,7 +59,7 @@
   };
   t.ok(lengthOf(1, 3) > 4 * lengthOf(1, 0), 'grows');
   t.ok(lengthOf(1, 30) <= 144_000, 'limited');
-  t.equal(lengthOf(1, 3, 400_000), lengthOf(1, 0), 'forgotten');
+  t.equal(lengthOf(1, 3, 400_000), lengthOf(1, 0), 'decayed');
   const detector = new OutlierDetector({ random: createRandomSource(1) });
   const lengths = Array.from({ length: 50 }, () => {
     const history = createOutcomeHistory();
@@ -74,43 +74,57 @@
   );
 });
 
-t.test('lengths are predicted from the group, and the longest go first', async (t) => {
-  const predictor = new LengthPredictor({ maximumGroups: 2 });
-  const make = (promptGroup: string, maxTokens = 1_000) => ({ model: 'm', promptGroup, maxTokens });
-  t.equal(predictor.predict(make('long')), 500, 'half of the limit while nothing is known');
-  for (let at = 0; at < 20; at += 1) {
-    predictor.record(make('short'), 50);
-    predictor.record(make('long'), 900);
-  }
-  t.ok(predictor.predict(make('long')) > 800);
-  t.ok(predictor.predict(make('short')) < 100);
-  t.equal(predictor.predict(make('long', 300)), 300, 'never above the limit');
-  const order = predictor.longestFirst([make('short'), make('unknown'), make('long')]);
-  t.same(
-    order.map((request) => request.promptGroup),
-    ['long', 'unknown', 'short'],
-  );
-  predictor.record(make('third'), 10);
-  t.ok(predictor.predict(make('short')) > 100, 'the group unused for longest is forgotten');
-});
+t.test(
+  'lengths are predicted from the prompt group, and the longest are sorted first',
+  async (t) => {
+    const predictor = new LengthPredictor({ maximumGroups: 2 });
+    const make = (promptGroup: string, maxTokens = 1_000) => ({
+      model: 'm',
+      promptGroup,
+      maxTokens,
+    });
+    t.equal(predictor.predict(make('long')), 500, 'half of the limit without observations');
+    for (let at = 0; at < 20; at += 1) {
+      predictor.record(make('short'), 50);
+      predictor.record(make('long'), 900);
+    }
+    t.ok(predictor.predict(make('long')) > 800);
+    t.ok(predictor.predict(make('short')) < 100);
+    t.equal(predictor.predict(make('long', 300)), 300, 'never above the limit');
+    const order = predictor.longestFirst([make('short'), make('unknown'), make('long')]);
+    t.same(
+      order.map((request) => request.promptGroup),
+      ['long', 'unknown', 'short'],
+    );
+    predictor.record(make('third'), 10);
+    t.ok(predictor.predict(make('short')) > 100, 'the least recently recorded group is evicted');
+  },
+);
 
-t.test('only late samples at the end of a step are hedged, once, within the share', async (t) => {
-  const policy = new HedgingPolicy();
-  const sample = (key: string, startedAt: number, attempts = 1) => {
-    return { key, startedAt, attempts, expected: 1_000 };
-  };
-  const step = { sampleCount: 100, typicalDuration: 1_000, hedgesMade: 0 };
-  const late = [sample('a', 3_000), sample('b', 0)];
-  t.same(policy.samplesToHedge({ ...step, pending: late }, 5_000), ['b', 'a']);
-  t.same(policy.samplesToHedge({ ...step, pending: late, hedgesMade: 1 }, 5_000), ['b']);
-  t.same(policy.samplesToHedge({ ...step, pending: late, hedgesMade: 2 }, 5_000), []);
-  t.same(policy.samplesToHedge({ ...step, pending: [sample('a', 0, 2)] }, 5_000), []);
-  t.same(policy.samplesToHedge({ ...step, pending: [sample('a', 4_000)] }, 5_000), []);
-  const many = Array.from({ length: 3 }, (_, at) => sample(`s${at}`, 0));
-  t.same(policy.samplesToHedge({ ...step, pending: many }, 5_000), [], 'not before the end');
-});
+t.test(
+  'only late samples at the end of a step are hedged, once, within the hedge share',
+  async (t) => {
+    const policy = new HedgingPolicy();
+    const sample = (key: string, startedAt: number, attempts = 1) => {
+      return { key, startedAt, attempts, expected: 1_000 };
+    };
+    const step = { sampleCount: 100, typicalDuration: 1_000, hedgesMade: 0 };
+    const late = [sample('a', 3_000), sample('b', 0)];
+    t.same(policy.samplesToHedge({ ...step, pending: late }, 5_000), ['b', 'a']);
+    t.same(policy.samplesToHedge({ ...step, pending: late, hedgesMade: 1 }, 5_000), ['b']);
+    t.same(policy.samplesToHedge({ ...step, pending: late, hedgesMade: 2 }, 5_000), []);
+    t.same(policy.samplesToHedge({ ...step, pending: [sample('a', 0, 2)] }, 5_000), []);
+    t.same(policy.samplesToHedge({ ...step, pending: [sample('a', 4_000)] }, 5_000), []);
+    const many = Array.from({ length: 3 }, (_, at) => sample(`s${at}`, 0));
+    t.same(
+      policy.samplesToHedge({ ...step, pending: many }, 5_000),
+      [],
+      'too many samples are pending',
+    );
+  },
+);
 
-t.test('the registry knows its policies and refuses doubles', async (t) => {
+t.test('the registry has all policies and rejects duplicates and unknown names', async (t) => {
   const registry = createRoutingPolicies();
   t.equal(registry.names().length, 6);
   t.throws(() => registry.create('unknown', createRandomSource(1)));
--- a/test/routing/router.test.ts
+++ b/test/routing/router.test.ts
@@ -38,7 +38,7 @@
   returnedAt: fc.constantFrom(Number.NEGATIVE_INFINITY, 995_000),
 });
 
-t.test('no policy leaves the zones, states, versions or limits', async () => {
+t.test('every policy respects zones, states, versions and limits', async () => {
   fc.assert(
     fc.property(
       fc.constantFrom(...registry.names()),
@@ -75,7 +75,7 @@
   );
 });
 
-t.test('a refusal says why', async (t) => {
+t.test('a refusal gives its reason', async (t) => {
   const kindOf = (context: Partial<RoutingContext>, oldestVersion = 0) => {
     const decision = makeRouter().choose(makeRequest({ oldestVersion }), makeContext(context));
     return decision.kind === 'refused' ? decision.failure.kind : decision.kind;
@@ -93,7 +93,7 @@
   t.equal(kindOf({ candidates: [worker] }, 1), 'worker');
 });
 
-t.test('a prompt group keeps its worker until the load bound passes it on', async (t) => {
+t.test('a prompt group stays on its worker until the worker reaches the load bound', async (t) => {
   const loads = new Map<string, number>();
   const candidates = Array.from({ length: 8 }, (_, at) =>
     makeCandidate(`worker-${at}`, { queueFree: 100, slots: 16 }),
@@ -123,7 +123,7 @@
   t.equal(again.kind === 'worker' && again.candidate.record.worker, chosen[0]);
 });
 
-t.test('a returning worker gets a rising share', async (t) => {
+t.test('a returning worker gets a slow start', async (t) => {
   const shareAt = (elapsed: number) => {
     const now = 1_000_000;
     const counts = new Map<string, number>();
@@ -144,6 +144,6 @@
     }
     return counts.get('worker-0') ?? 0;
   };
-  t.ok(shareAt(500) <= 2, 'little at first');
-  t.ok(shareAt(20_000) >= 4, 'its whole share later');
+  t.ok(shareAt(500) <= 2, 'a small share at first');
+  t.ok(shareAt(20_000) >= 4, 'its full share later');
 });
--- a/test/routing/worker-directory.test.ts
+++ b/test/routing/worker-directory.test.ts
@@ -34,11 +34,11 @@
   );
 });
 
-t.test('a fleet agrees on homes, and each worker is polled and followed', async (t) => {
+t.test('all nodes agree on homes, and each worker is polled and followed', async (t) => {
   const fleet = new Fleet(NODES, WORKERS, 2);
   for (const { worker, zone } of WORKERS) {
     const homes = NODES.map((node) => fleet.directory(node.node).homeOf(worker)?.node);
-    t.equal(new Set(homes).size, 1, 'all nodes name the same home');
+    t.equal(new Set(homes).size, 1, 'all nodes compute the same home');
     t.ok(homes[0]?.startsWith(zone), 'the home is in the worker’s zone');
     t.ok(fleet.directory(homes[0] ?? '').report(worker), 'the home has its report');
   }
@@ -47,7 +47,7 @@
   for (const { worker } of WORKERS) t.same(fleet.statesOf(worker), new Set(['in-service']));
 });
 
-t.test('each source of leaving takes effect everywhere within 3 s', async (t) => {
+t.test('each source of the state leaving takes effect on all nodes within 3 s', async (t) => {
   const target = 'zone-b-w2';
   const sources: Record<string, (fleet: Fleet) => void> = {
     'machine list': (fleet) =>
@@ -68,7 +68,7 @@
       fleet.loses = (message) =>
         message.kind === 'load' && message.loads.length > 0 && !message.complete;
     },
-    'gone from the list': (fleet) =>
+    'removed from the list': (fleet) =>
       fleet.setMachines(
         WORKERS.filter((record) => record.worker !== target).map((one) => makeMachine(one, 'live')),
       ),
@@ -84,7 +84,7 @@
   }
 });
 
-t.test('an engine that fails or hangs is unreachable, and returns slowly', async (t) => {
+t.test('an engine that fails or hangs is unreachable, and returns with a slow start', async (t) => {
   for (const fault of ['fails', 'hangs'] as const) {
     const fleet = new Fleet(NODES, WORKERS);
     fleet.reports.set('zone-a-w1', fault);
@@ -95,27 +95,30 @@
     t.same(fleet.statesOf('zone-a-w1'), new Set(['in-service']));
     const candidates = fleet.directory('zone-c-n1').candidates(MODEL, ['zone-a']);
     const returned = candidates.find((candidate) => candidate.record.worker === 'zone-a-w1');
-    t.ok((returned?.returnedAt ?? 0) > 2_000, 'it starts slowly');
+    t.ok((returned?.returnedAt ?? 0) > 2_000, 'it gets a slow start');
   }
 });
 
-t.test('when a home dies or restarts its workers are followed from the next home', async (t) => {
-  const fleet = new Fleet(NODES, WORKERS);
-  const dead = fleet.directory('zone-b-n1').homeOf('zone-a-w1')?.node ?? '';
-  fleet.setNodes(NODES.filter((node) => node.node !== dead));
-  fleet.run(3_000);
-  t.not(fleet.directory('zone-b-n1').homeOf('zone-a-w1')?.node, dead);
-  t.same(fleet.statesOf('zone-a-w1'), new Set(['in-service']));
-  fleet.setNodes(NODES.map((node) => (node.node === dead ? { ...node, incarnation: 2 } : node)));
-  fleet.run(3_000);
-  t.equal(fleet.directory('zone-b-n1').homeOf('zone-a-w1')?.incarnation, 2);
-  fleet.reports.set('zone-a-w1', { activeVersion: 7 });
-  fleet.run(1_000);
-  const seen = fleet.directory('zone-b-n1').candidates(MODEL, ['zone-a']);
-  t.equal(seen.find((one) => one.record.worker === 'zone-a-w1')?.activeVersion, 7);
-});
+t.test(
+  'when a home terminates or restarts, its workers are followed from the next home',
+  async (t) => {
+    const fleet = new Fleet(NODES, WORKERS);
+    const dead = fleet.directory('zone-b-n1').homeOf('zone-a-w1')?.node ?? '';
+    fleet.setNodes(NODES.filter((node) => node.node !== dead));
+    fleet.run(3_000);
+    t.not(fleet.directory('zone-b-n1').homeOf('zone-a-w1')?.node, dead);
+    t.same(fleet.statesOf('zone-a-w1'), new Set(['in-service']));
+    fleet.setNodes(NODES.map((node) => (node.node === dead ? { ...node, incarnation: 2 } : node)));
+    fleet.run(3_000);
+    t.equal(fleet.directory('zone-b-n1').homeOf('zone-a-w1')?.incarnation, 2);
+    fleet.reports.set('zone-a-w1', { activeVersion: 7 });
+    fleet.run(1_000);
+    const seen = fleet.directory('zone-b-n1').candidates(MODEL, ['zone-a']);
+    t.equal(seen.find((one) => one.record.worker === 'zone-a-w1')?.activeVersion, 7);
+  },
+);
 
-t.test('a home that falls silent leaves its workers connecting', async (t) => {
+t.test('workers of a home that sends no updates become connecting', async (t) => {
   const fleet = new Fleet(NODES, WORKERS);
   fleet.loses = () => true;
   fleet.run(6_000);
@@ -123,7 +126,7 @@
   t.ok(states.every((candidate) => candidate.state === 'connecting'));
 });
 
-t.test('counts of the home reach subscribers, and own dispatches count until then', async (t) => {
+t.test('counts of the home replace the own count of dispatches', async (t) => {
   const fleet = new Fleet(NODES, WORKERS);
   const home = fleet.directory('zone-b-n1').homeOf('zone-a-w1')?.node ?? '';
   const counts = { outstanding: 9, interactiveOutstanding: 2, queueFree: 1 };
@@ -137,7 +140,7 @@
   t.match(find(), { ...counts, sentSinceUpdate: 0 });
 });
 
-t.test('failing calls eject, for longer each time, but never all of a zone', async (t) => {
+t.test('failed calls eject a worker, for longer each time, but never all of a zone', async (t) => {
   const fleet = new Fleet(NODES, WORKERS);
   const follower = NODES.find(({ node, zone }) => {
     return zone === 'zone-c' && fleet.directory(node).workersAtHome().length < 4;
@@ -151,8 +154,8 @@
   for (const zone of ['zone-a', 'zone-b']) {
     for (const candidate of inZone(zone)) fail(candidate.record.worker);
   }
-  t.equal(ejectedOf('zone-a').length, 3, 'one of the zone stays');
-  t.equal(ejectedOf('zone-b').length, 1, 'a third of the twelve are out');
+  t.equal(ejectedOf('zone-a').length, 3, 'one of the zone stays in service');
+  t.equal(ejectedOf('zone-b').length, 1, 'a third of the twelve are ejected');
   const [first] = ejectedOf('zone-a');
   fleet.run(7_000);
   t.equal(first?.state, 'in-service', 'back after the first ejection');
@@ -162,10 +165,10 @@
   for (let call = 0; call < 50; call += 1) {
     directory.recordOutcome('zone-c-w2', 'refused', fleet.now);
   }
-  t.same(fleet.statesOf('zone-c-w2'), new Set(['in-service']), 'refusals are no failures');
+  t.same(fleet.statesOf('zone-c-w2'), new Set(['in-service']), 'refusals do not count as failures');
 });
 
-t.test('a worker whose home sees it fail is ejected by the nodes that follow it', async (t) => {
+t.test('a worker that its home ejects is ejected by the nodes that follow it', async (t) => {
   const fleet = new Fleet(NODES, WORKERS);
   const home = fleet.directory('zone-b-n1').homeOf('zone-a-w1')?.node ?? '';
   for (let call = 0; call < 5; call += 1) {
@@ -177,7 +180,7 @@
   t.same(fleet.statesOf('zone-a-w1'), new Set(['in-service']));
 });
 
-t.test('a worker said to be in another zone than its machine is never a candidate', async (t) => {
+t.test('a worker listed in another zone than its machine is never a candidate', async (t) => {
   const fleet = new Fleet(NODES, WORKERS);
   const stray = { ...makeMachine(makeWorker('stray', 'zone-a'), 'live'), zone: 'zone-b' };
   fleet.setMachines([...WORKERS.map((record) => makeMachine(record, 'live')), stray]);
@@ -185,7 +188,7 @@
   t.notOk(fleet.candidateNames().has('stray'));
 });
 
-t.test('a lost push is made good although a later push of the same home arrives', async (t) => {
+t.test('a lost push is repeated when a later push of the same home arrives', async (t) => {
   const fleet = new Fleet([makeNode('home'), makeNode('other', 'zone-b')], WORKERS);
   const follower = fleet.directory('other');
   const seen = (worker: string) =>
@@ -197,12 +200,12 @@
   fleet.reports.set('zone-a-w2', { activeVersion: 6 });
   fleet.run(600);
   t.equal(seen('zone-a-w2')?.activeVersion, 6);
-  t.equal(seen('zone-a-w1')?.activeVersion, 5, 'asked for at once, not at the next renewal');
+  t.equal(seen('zone-a-w1')?.activeVersion, 5, 'requested at once, not at the next renewal');
   fleet.run(3_000);
   t.equal(seen('zone-a-w1')?.activeVersion, 5);
 });
 
-t.test('a worker whose home has not heard of it yet is connecting', async (t) => {
+t.test('a worker that its home has not polled yet is connecting', async (t) => {
   const fleet = new Fleet(NODES, WORKERS);
   const added = makeWorker('zone-a-new');
   fleet.reports.set('zone-a-new', 'hangs');
--- a/test/routing/worker-topology.test.ts
+++ b/test/routing/worker-topology.test.ts
@@ -18,7 +18,7 @@
 }) as unknown as readonly MachineRecord[];
 
 /** Number of workers followed in each zone. */
-function followed(wanted: readonly WantedModel[]): readonly number[] {
+function followedCounts(wanted: readonly WantedModel[]): readonly number[] {
   const self = NODES[0];
   if (self === undefined) throw new RangeError('no nodes');
   const topology = new WorkerTopology(self, 32);
@@ -28,22 +28,22 @@
   return topology.subsets().map((subset) => subset.records.length);
 }
 
-t.test('the driver of a large step follows the workers that its samples need', async (t) => {
-  t.same(followed([{ model: 'm', zones: ZONES }]), [32, 32, 32]);
-  t.same(followed([{ model: 'm', zones: ZONES, samplesDriven: 256 }]), [32, 32, 32]);
-  t.same(followed([{ model: 'm', zones: ZONES, samplesDriven: 2_400 }]), [100, 100, 100]);
-  t.same(followed([{ model: 'm', zones: ZONES, samplesDriven: 16_384 }]), [200, 200, 200]);
+t.test('the driver of a large step follows enough workers for its samples', async (t) => {
+  t.same(followedCounts([{ model: 'm', zones: ZONES }]), [32, 32, 32]);
+  t.same(followedCounts([{ model: 'm', zones: ZONES, samplesDriven: 256 }]), [32, 32, 32]);
+  t.same(followedCounts([{ model: 'm', zones: ZONES, samplesDriven: 2_400 }]), [100, 100, 100]);
+  t.same(followedCounts([{ model: 'm', zones: ZONES, samplesDriven: 16_384 }]), [200, 200, 200]);
 });
 
-t.test('two intents of a model agree on its subsets', async (t) => {
+t.test('two intents of a model use the same subset size', async (t) => {
   const narrow = { model: 'm', zones: ['a'], samplesDriven: 800 };
   t.same(
-    followed([{ model: 'm', zones: ZONES, samplesDriven: 800 }, narrow]),
+    followedCounts([{ model: 'm', zones: ZONES, samplesDriven: 800 }, narrow]),
     [100, 100, 100, 100],
   );
 });
 
-t.test('a change of the samples driven is a change of what is wanted', async (t) => {
+t.test('a change of the driven samples changes the routed models', async (t) => {
   const topology = new WorkerTopology(node('a1', 'a'), 32);
   t.ok(topology.updateWanted([{ model: 'm', zones: ZONES }]));
   t.notOk(topology.updateWanted([{ model: 'm', zones: ZONES, samplesDriven: 0 }]));
--- a/test/settings/live-settings.test.ts
+++ b/test/settings/live-settings.test.ts
@@ -18,7 +18,7 @@
   'bounds.grace_s=8',
 ];
 
-function fixture(test: { teardown(work: () => void): void }) {
+function startLiveSettings(test: { teardown(work: () => void): void }) {
   const folder = mkdtempSync(path.join(os.tmpdir(), 'wardwing-settings-'));
   test.teardown(() => rmSync(folder, { recursive: true }));
   const file = path.join(folder, 'node.conf');
@@ -36,13 +36,13 @@
     read: readSettings,
     log,
     reloadable: ['timings'],
-    lookInterval: 20,
+    pollInterval: 20,
   });
   return { live, write, lines, log, file };
 }
 
 t.test('a reload takes times in, and says what needs a restart', async (t) => {
-  const { live, write, lines } = fixture(t);
+  const { live, write, lines } = startLiveSettings(t);
   write(['grace_s=8', 'grace_s=5'], ['zone=hall-1', 'zone=hall-2']);
   live.reload('signal');
   t.equal(live.current.timings.stopLimit, 5_000);
@@ -56,7 +56,7 @@
 });
 
 t.test('a file that cannot be used changes nothing, and the log names the key', async (t) => {
-  const { live, write, lines } = fixture(t);
+  const { live, write, lines } = startLiveSettings(t);
   write(['grace_s=8', 'grace_s=soon']);
   live.reload('signal');
   t.equal(live.current.timings.stopLimit, 8_000);
@@ -64,7 +64,7 @@
 });
 
 t.test('a file that changes without a signal is read again', async (t) => {
-  const { live, write } = fixture(t);
+  const { live, write } = startLiveSettings(t);
   live.watch();
   t.teardown(() => live.unwatch());
   write(['grace_s=8', 'grace_s=5.5']);
@@ -72,7 +72,7 @@
 });
 
 t.test('a change just before the file is followed is not missed', async (t) => {
-  const { live, write } = fixture(t);
+  const { live, write } = startLiveSettings(t);
   write(['grace_s=8', 'grace_s=4.5']);
   live.watch();
   t.teardown(() => live.unwatch());
@@ -80,7 +80,7 @@
 });
 
 t.test('a file that is gone changes nothing, and is said once', async (t) => {
-  const { live, lines, file } = fixture(t);
+  const { live, lines, file } = startLiveSettings(t);
   rmSync(file);
   live.watch();
   t.teardown(() => live.unwatch());
@@ -92,7 +92,7 @@
 });
 
 t.test('a file that cannot be used at the start ends the start', async (t) => {
-  const { write, log, file } = fixture(t);
+  const { write, log, file } = startLiveSettings(t);
   write(['ip=10.0.0.1', '']);
   const start = (): unknown =>
     new LiveSettings({ path: file, read: readSettings, log, reloadable: ['timings'] });
