--- a/src/core/counter-names.ts
+++ b/src/core/counter-names.ts
@@ -1,5 +1,5 @@
 /**
- * The closed list of counters that decision modules raise. Telemetry exports each under the
+ * The closed list of counters that decision modules increment. Telemetry exports each with the
  * prefix `wardwing_` and the suffix `_total`.
  */
 export const COUNTER_HELP = {
@@ -27,18 +27,16 @@
   messages_dropped: 'Messages to nodes that are not known',
 } as const;
 
-/** A counter of the closed list. */
 export type CounterName = keyof typeof COUNTER_HELP;
 
-/** All counter names. */
 export const COUNTER_NAMES = Object.keys(COUNTER_HELP) as readonly CounterName[];
 
-/** Where counters are raised. */
+/** Receives increments of counters. */
 export interface CounterSink {
   increment(name: CounterName, amount?: number): void;
 }
 
-/** A sink that keeps counts in memory. */
+/** A sink that stores the counts in memory. */
 export class MemoryCounters implements CounterSink {
   private readonly counts = new Map<CounterName, number>();
 
@@ -46,12 +44,11 @@
     this.counts.set(name, this.value(name) + amount);
   }
 
-  /** The count so far. */
   value(name: CounterName): number {
     return this.counts.get(name) ?? 0;
   }
 
-  /** All counts, including those still zero. */
+  /** All counts, including zeros. */
   snapshot(): Readonly<Record<CounterName, number>> {
     const entries = COUNTER_NAMES.map((name) => [name, this.value(name)] as const);
     return Object.fromEntries(entries) as Record<CounterName, number>;
--- a/src/core/format-version.ts
+++ b/src/core/format-version.ts
@@ -1,18 +1,18 @@
 /**
- * The format of what nodes write for each other: records in the shared store, files of journals,
- * questions. Fields that a build does not know are ignored and kept, and kinds of questions that it
- * does not know are answered as such; only what older builds can't read needs a higher number.
+ * The format version of data that nodes exchange: records in the shared store, journal files and
+ * requests. Builds preserve unknown fields and answer unknown kinds of requests as unknown, so the
+ * version increases only with changes that older builds cannot read.
  */
 import * as z from 'zod';
 
-/** The number of a format; each later build reads all lower ones. */
+/** A format version; a build reads its own version and all lower ones. */
 export type FormatVersion = number;
 
-/** Of builds whose records tell none. */
+/** The version of records without a version field. */
 export const FIRST_FORMAT: FormatVersion = 1;
 
-/** Of this build. */
+/** The version that this build writes. */
 export const OWN_FORMAT: FormatVersion = 2;
 
-/** As a record's field. */
+/** Schema of the version field of a record. */
 export const FORMAT_FIELD = z.number().default(FIRST_FORMAT);
--- a/src/core/hashing.ts
+++ b/src/core/hashing.ts
@@ -1,20 +1,18 @@
-/**
- * Hashes: a fast one for placement (MurmurHash3) and a collision-resistant one for content.
- */
+/** Hashes for placement (MurmurHash3) and for content (SHA-256), and rendezvous hashing. */
 import { createHash } from 'node:crypto';
 import murmurhash from 'murmurhash';
 
-/** Placement hash of a text: a whole number in `[0, 2^32)`. */
+/** MurmurHash3 of a text: an integer in `[0, 2^32)`. */
 export function placementHash(text: string, seed = 0): number {
   return murmurhash.v3(text, seed);
 }
 
-/** SHA-256 of a text, in hexadecimal. */
+/** SHA-256 of a text, in lower-case hexadecimal. */
 export function contentDigest(text: string): string {
   return createHash('sha256').update(text).digest('hex');
 }
 
-/** The candidate with the highest rendezvous score for the key, or `undefined` of none. */
+/** The candidate with the highest rendezvous score for the key; `undefined` for an empty list. */
 export function rendezvousFirst<Item>(
   key: string,
   candidates: readonly Item[],
@@ -24,8 +22,8 @@
 }
 
 /**
- * Candidates ordered by rendezvous (highest random weight) score for the key. When a candidate
- * leaves, only the keys it held move (Thaler and Ravishankar, 1998).
+ * Candidates ordered by rendezvous score for the key, highest first. When a candidate is removed,
+ * only its keys move (Thaler and Ravishankar, 1998).
  */
 export function rendezvousOrder<Item>(
   key: string,
--- a/src/core/http-status.ts
+++ b/src/core/http-status.ts
@@ -1,4 +1,4 @@
-/** The HTTP status codes that the code compares or answers by itself (RFC 9110, RFC 6585). */
+/** HTTP status codes that the code compares or sends (RFC 9110, RFC 6585). */
 export const HTTP_STATUS = {
   ok: 200,
   accepted: 202,
@@ -12,8 +12,8 @@
   serviceUnavailable: 503,
 } as const;
 
-/** Statuses from this one on say that the client erred or the server failed. */
+/** Lowest status of client and server errors. */
 export const FIRST_ERROR_STATUS = 400;
 
-/** Statuses from this one on say that the server failed. */
+/** Lowest status of server errors. */
 export const FIRST_SERVER_ERROR_STATUS = 500;
--- a/src/core/identity.ts
+++ b/src/core/identity.ts
@@ -1,21 +1,21 @@
 /**
- * Names of the parties of a deployment. All are plain strings taken from settings, the machine
- * list or the key-value service, and compared by equality only.
+ * Identifiers of nodes, workers, zones and accounts. All names come from settings, the machine list or
+ * the key-value service, and are compared by equality only.
  */
 
-/** Name of a node's place in the fleet, stable across restarts, e.g. `hall-a-1`. */
+/** Name of a node, stable across restarts, e.g. `hall-a-1`. */
 export type NodeId = string;
 
 /**
- * One life of a node. A restarted node has a larger incarnation, so that messages meant for an
- * earlier life, and votes cast by it, can be told apart.
+ * Number of one run of a node process. It increases with each restart, so that messages to an earlier
+ * incarnation and votes of it can be recognized.
  */
 export type Incarnation = number;
 
 /** Name of a zone, e.g. `hall-a`. */
 export type ZoneName = string;
 
-/** Name of a region that holds one or more zones. */
+/** Name of a region, which contains one or more zones. */
 export type RegionName = string;
 
 /** Name of a model worker (one engine). */
@@ -30,28 +30,28 @@
 /** Name of an intent. */
 export type IntentName = string;
 
-/** One life of one node. */
+/** One incarnation of a node. */
 export interface NodeIdentity {
   readonly node: NodeId;
   readonly incarnation: Incarnation;
 }
 
-/** Where a node lives and how it is reached. */
+/** Location and address of a node. */
 export interface NodeRecord extends NodeIdentity {
   readonly zone: ZoneName;
   readonly region: RegionName;
   /** IP address and port of the node-to-node endpoint, e.g. `127.0.0.1:7401`. */
   readonly address: string;
-  /** Name of the machine that runs the process; replicas of one group avoid sharing it. */
+  /** Name of the machine that runs the process; replicas of a group are placed on different machines. */
   readonly machine: string;
 }
 
-/** A text form of a node's life, usable as a map key: `node#incarnation`. */
+/** Map key of a node's incarnation: `node#incarnation`. */
 export function identityKey(identity: NodeIdentity): string {
   return `${identity.node}#${identity.incarnation}`;
 }
 
-/** Whether two identities are the same life of the same node. */
+/** Whether two identities are the same incarnation of the same node. */
 export function sameIdentity(left: NodeIdentity, right: NodeIdentity): boolean {
   return left.node === right.node && left.incarnation === right.incarnation;
 }
--- a/src/core/node-ports.ts
+++ b/src/core/node-ports.ts
@@ -1,7 +1,6 @@
 /**
- * What a composite decision module (dispatch, rollouts, requests) may ask of the node it is part
- * of. The node turns each call into an effect; nothing here does I/O. Callbacks are run while a
- * later event is handled, never inside the call that takes them.
+ * The interface of a node to its decision modules (dispatch, rollouts, requests). The node turns each
+ * call into an effect without I/O, and runs callbacks only while it handles a later event.
  */
 import type { Configuration } from '../config-feed/configuration.js';
 import type { Ledger, LedgerChange, LedgerOutcome } from '../ledger/ledger.js';
@@ -15,17 +14,17 @@
 import type { ChangeDetails } from './state-change.js';
 import type { Milliseconds } from './units.js';
 
-/** Takes the outcome of a ledger operation. */
+/** Receives the outcome of a ledger operation. */
 export type LedgerCallback = (outcome: LedgerOutcome<LedgerRecord>) => void;
 
-/** Which register is meant: the intent's domain, the key that picks the shard, and its own key. */
+/** Address of a register: domain of the intent, key that selects the shard, and key of the register. */
 export interface RegisterAddress {
   readonly domain: string;
   readonly shardKey: string;
   readonly key: string;
 }
 
-/** The replicated ledger, with outcomes by callback. */
+/** The replicated ledger; callbacks receive the outcomes. */
 export interface LedgerPort {
   change(
     address: RegisterAddress,
@@ -48,38 +47,38 @@
     deadline: Milliseconds,
     done: LedgerCallback,
   ): void;
-  /** The ledger itself, for queries that have no effects. */
+  /** Queries of the ledger that have no effects. */
   readonly view: Pick<Ledger<LedgerRecord>, 'localEntries' | 'groupFor' | 'isActiveMember'>;
-  /** Forgets the register with a key or, where the key ends with `/`, all below it. */
+  /** Removes the register with a key; for a key that ends with `/`, all registers with that prefix. */
   removeRegisters(domain: string, shardKey: string, key: string): void;
-  /** Forgets bodies of a shard key: those with these digests, or all of them for `null`. */
+  /** Removes the bodies of a shard key with these digests, or all of them for `null`. */
   removeBodies(domain: string, shardKey: string, digests: readonly string[] | null): void;
 }
 
-/** The node as its composite modules see it. */
+/** State and actions of a node for its decision modules. */
 export interface NodePorts {
   readonly self: NodeRecord;
   readonly random: RandomSource;
   readonly counters: CounterSink;
   readonly mechanisms: MechanismSwitches;
   readonly ledger: LedgerPort;
-  /** Time of the event that is being handled. */
+  /** Time of the current event. */
   now(): Milliseconds;
   configuration(): Configuration;
-  /** Age of the configuration; infinite where it was never fresh. */
+  /** Time since the cached configuration was last known to be complete; infinite where it never was. */
   freshnessAge(): Milliseconds;
-  /** Whether the configuration is fresh enough to tell the newest weight version. */
+  /** Whether the configuration is fresh enough to know the newest weight version. */
   isFresh(): boolean;
-  /** Whether this node has not been declared dead while it was frozen. */
+  /** Whether a peer has confirmed this incarnation since its start or its last process pause. */
   isConfirmed(): boolean;
-  /** Whether the life is thought to be in service. */
+  /** Whether the membership module considers the incarnation live. */
   isAlive(identity: NodeIdentity): boolean;
   isStopping(): boolean;
   /** Runs a callback at the first tick after a delay. */
   later(delay: Milliseconds, callback: () => void): void;
   send(to: NodeIdentity, message: PeerMessage): void;
   reply(callId: string, reply: CallReply): void;
-  /** Keeps a decision so that it can be explained; never with a caller's data. */
+  /** Records a decision for the operators' explain command, without data of callers. */
   explain(subject: string, decision: string, reason: string): void;
   stateChange(module: string, change: string, details: ChangeDetails): void;
 }
--- a/src/core/open-record.ts
+++ b/src/core/open-record.ts
@@ -1,9 +1,9 @@
-/** Records that nodes of different builds read and write again. */
+/** Schemas of records that nodes of different builds read and rewrite. */
 import * as z from 'zod';
 
 /**
- * A record whose further fields are kept: a newer build may have written them, and an older one that
- * writes the record again must not lose them. The type names the known fields alone.
+ * An object schema that preserves unknown fields, so that an older build does not lose fields of a
+ * newer one when it rewrites the record. The type has the known fields only.
  */
 export function openRecord<Shape extends z.ZodRawShape>(shape: Shape): z.ZodObject<Shape> {
   return z.looseObject(shape) as unknown as z.ZodObject<Shape>;
--- a/src/core/random.ts
+++ b/src/core/random.ts
@@ -1,6 +1,4 @@
-/**
- * Seeded random numbers, passed into decision modules so that a run can be repeated.
- */
+/** Seeded random numbers, passed to decision modules so that runs are reproducible. */
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { placementHash } from './hashing.js';
@@ -11,7 +9,7 @@
 
 /** A source of random numbers with an explicit seed. */
 export interface RandomSource {
-  /** A whole number in `[0, limit)`; `limit` is at least 1. */
+  /** An integer in `[0, limit)`; `limit` is at least 1. */
   integer(limit: number): number;
   /** A number in `[0, 1)`. */
   fraction(): number;
@@ -20,8 +18,8 @@
 }
 
 /**
- * Creates a source from a seed (any whole number). The seed is hashed first, since the generator's
- * first numbers are nearly the same for small seeds.
+ * Creates a source from an integer seed. The seed is hashed, since the first numbers of the generator
+ * are similar for small seeds.
  */
 export function createRandomSource(seed: number): RandomSource {
   const generator = xoroshiro128plus(placementHash(String(seed)) | 0);
@@ -34,8 +32,8 @@
 }
 
 /**
- * A time drawn evenly from `[1 - spread, 1 + spread)` times its length, so that nodes which start
- * together do not go on in step. The spread lies in `[0, 1]`.
+ * A duration drawn uniformly from `[1 - spread, 1 + spread)` times its length, to desynchronize nodes
+ * that start together. The spread is in `[0, 1]`.
  */
 export function jittered(random: RandomSource, length: Milliseconds, spread: number): Milliseconds {
   return length * (1 - spread + 2 * spread * random.fraction());
--- a/src/core/state-change.ts
+++ b/src/core/state-change.ts
@@ -1,4 +1,4 @@
-/** What a change of state is told with, from decision modules to the log. */
+/** The log fields of a state change. */
 
-/** Facts that go with a change; never prompts, texts of samples or tokens. */
+/** Log fields by name; never with prompts, texts of samples or tokens. */
 export type ChangeDetails = Readonly<Record<string, string | number | boolean>>;
--- a/src/errors/error-kinds.ts
+++ b/src/errors/error-kinds.ts
@@ -1,19 +1,16 @@
-/**
- * The closed list of error kinds and the one table from kind to answer. Every refusal or failure
- * that leaves wardwing carries one of these kinds.
- */
+/** The closed list of error kinds and their HTTP answers; each error sent to a caller has one kind. */
 import type { Milliseconds } from '../core/units.js';
 
-/** Whether the work behind a request ran: `no` is a promise, `unknown` admits ignorance. */
+/** Whether the work of a request ran: `no` is guaranteed, `unknown` is an uncertain outcome. */
 export type RanState = 'no' | 'yes' | 'unknown';
 
-/** How one kind of error is answered over HTTP. */
+/** The HTTP answer to one kind of error. */
 export interface ErrorAnswer {
   readonly status: number;
   readonly ran: RanState;
-  /** When to come back; `null` where repeating the same request cannot help. */
+  /** Retry delay for the caller; `null` where a retry of the same request cannot succeed. */
   readonly retryAfter: Milliseconds | null;
-  /** One sentence for people. */
+  /** One human-readable sentence. */
   readonly title: string;
 }
 
@@ -26,7 +23,6 @@
   return { status, ran, retryAfter, title };
 }
 
-/** The table from kind to answer. */
 export const ERROR_ANSWERS = {
   malformed_request: answer(400, 'no', null, 'The request could not be read.'),
   unknown_field: answer(400, 'no', null, 'The request has a field that is not known.'),
@@ -62,24 +58,21 @@
   internal: answer(500, 'unknown', 1_000, 'A fault of wardwing itself.'),
 } as const satisfies Record<string, ErrorAnswer>;
 
-/** One kind of error; the list is closed. */
 export type ErrorKind = keyof typeof ERROR_ANSWERS;
 
-/** All kinds, in the order of the table. */
 export const ERROR_KINDS = Object.keys(ERROR_ANSWERS) as readonly ErrorKind[];
 
-/** A failure on its way to a caller. */
+/** A failure to be sent to a caller. */
 export interface Failure {
   readonly kind: ErrorKind;
-  /** What exactly went wrong, without any caller's data. */
+  /** The specific cause, without data of callers. */
   readonly detail: string;
-  /** Overrides the table's time to come back. */
+  /** Overrides the retry delay of the kind. */
   readonly retryAfter?: Milliseconds;
-  /** Overrides the table where more is known of whether the work ran. */
+  /** Overrides the execution state of the kind. */
   readonly ran?: RanState;
 }
 
-/** Makes a failure of a kind. */
 export function failure(
   kind: ErrorKind,
   detail: string,
@@ -88,19 +81,19 @@
   return { kind, detail, ...overrides };
 }
 
-/** Whether the work behind a failure ran, as the caller is told. */
+/** Whether the work of the failed request ran, as reported to the caller. */
 export function ranStateOf(value: Failure): RanState {
   return value.ran ?? ERROR_ANSWERS[value.kind].ran;
 }
 
-/** When the caller is told to come back; `null` where it need not. */
+/** Retry delay reported to the caller; `null` where a retry cannot succeed. */
 export function retryAfterOf(value: Failure): Milliseconds | null {
   return value.retryAfter ?? ERROR_ANSWERS[value.kind].retryAfter;
 }
 
 /**
- * A failure of one call about work that an earlier call with the same key may have run: `no` would
- * be true of the call, but not of the work.
+ * Replaces `no` by `unknown` for a call whose key an earlier call used: this call did not run the
+ * work, but the earlier one may have.
  */
 export function withoutPromise(value: Failure): Failure {
   return ranStateOf(value) === 'no' ? { ...value, ran: 'unknown' } : value;
--- a/test/errors/error-kinds.test.ts
+++ b/test/errors/error-kinds.test.ts
@@ -1,7 +1,7 @@
 import t from 'tap';
 import { ERROR_ANSWERS, ERROR_KINDS, failure, ranStateOf } from '../../src/errors/error-kinds.js';
 
-t.test('every kind has a complete answer', async (t) => {
+t.test('every error kind has a complete answer', async (t) => {
   for (const kind of ERROR_KINDS) {
     const answer = ERROR_ANSWERS[kind];
     t.ok(answer.status >= 400 && answer.status < 600, `${kind} has an error status`);
@@ -10,14 +10,14 @@
   }
 });
 
-t.test('a busy or missing place tells when to come back', async (t) => {
+t.test('answers with status 429 or 503 have a retry delay', async (t) => {
   for (const kind of ERROR_KINDS) {
     const { status, retryAfter } = ERROR_ANSWERS[kind];
-    if (status === 503 || status === 429) t.ok(retryAfter, `${kind} names a time`);
+    if (status === 503 || status === 429) t.ok(retryAfter, `${kind} has a retry delay`);
   }
 });
 
-t.test('what is known of one failure goes before the table', async (t) => {
+t.test('the execution state of a failure overrides that of its kind', async (t) => {
   t.equal(ranStateOf(failure('deadline_exceeded', 'x')), 'unknown');
   t.equal(ranStateOf(failure('deadline_exceeded', 'x', { ran: 'no' })), 'no');
 });
