--- a/src/settings/duration.ts
+++ b/src/settings/duration.ts
@@ -1,6 +1,4 @@
-/**
- * Durations as people write them: a whole or decimal number and a unit, e.g. `500ms`, `6s`, `10m`.
- */
+/** Durations in settings and flags: a decimal number and a unit, e.g. `500ms`, `6s`, `10m`. */
 import { Maybe } from 'true-myth';
 import type { Milliseconds } from '../core/units.js';
 
@@ -14,10 +12,10 @@
 
 const DURATION_PATTERN = /^(\d+(?:\.\d+)?)(ms|s|m|h)$/;
 
-/** What {@link parseDuration} accepts, for messages. */
+/** The format of {@link parseDuration}, for error messages. */
 export const ACCEPTED_DURATIONS = 'a number with a unit ms, s, m or h, e.g. "500ms", "6s", "10m"';
 
-/** Reads a duration; nothing where the text is not one. */
+/** Parses a duration; nothing for an invalid text. */
 export function parseDuration(text: string): Maybe<Milliseconds> {
   const match = DURATION_PATTERN.exec(text);
   if (match === null) return Maybe.nothing();
@@ -25,7 +23,7 @@
   return Maybe.just(Math.round(Number(match[1]) * factor));
 }
 
-/** Writes a duration with the largest unit that keeps it whole; inverse of {@link parseDuration}. */
+/** Formats a duration with the largest unit that gives an integer; inverse of {@link parseDuration}. */
 export function formatDuration(duration: Milliseconds): string {
   const units = Object.entries(UNIT_MILLISECONDS).reverse();
   const fitting = units.find(([, factor]) => duration > 0 && duration % factor === 0);
--- a/src/settings/flags.ts
+++ b/src/settings/flags.ts
@@ -1,18 +1,18 @@
-/** Flags that override keys of the settings file, as one table. */
+/** Command-line flags that override keys of the settings file. */
+
 /** Flags by name, without the leading dashes. */
 export type FlagValues = Readonly<Record<string, unknown>>;
 
-/** One flag and the key it overrides. */
+/** A flag and the settings key that it overrides. */
 export interface SettingsFlag {
   readonly flag: string;
   readonly section: string;
   readonly key: string;
-  /** A list is written with commas. */
+  /** Whether the value is a comma-separated list. */
   readonly isList: boolean;
   readonly help: string;
 }
 
-/** The table from flag to key. */
 export const SETTINGS_FLAGS: readonly SettingsFlag[] = [
   flag('name', 'node', 'name', 'Name of the node'),
   flag('zone', 'node', 'zone', 'Zone of the node'),
@@ -32,7 +32,7 @@
   return { flag: name, section, key, isList: false, help };
 }
 
-/** The document with every given flag put in the place of its key. */
+/** A copy of the document in which flags replace the values of their keys. */
 export function applyFlags(
   document: Readonly<Record<string, unknown>>,
   values: FlagValues,
--- a/src/settings/live-settings.ts
+++ b/src/settings/live-settings.ts
@@ -1,6 +1,6 @@
 /**
- * Settings that are read again while the process runs: on a signal, and when their file has
- * changed without one. A file that can't be used changes nothing; the log names the key at fault.
+ * Reloads settings at runtime: on a signal, and when their file changes. An invalid file does not
+ * change the active settings; the log names the invalid key.
  */
 import { statSync } from 'node:fs';
 import { isDeepStrictEqual } from 'node:util';
@@ -9,25 +9,25 @@
 
 const DEFAULT_POLL_INTERVAL: Milliseconds = 5_000;
 
-/** Why settings were read again. */
+/** Cause of a reload. */
 export type ReloadCause = 'signal' | 'file';
 
 /** Options of {@link LiveSettings}. */
 export interface LiveSettingsOptions<Settings extends object> {
   readonly path: string;
-  /** Reads and checks the file; throws an error whose message names the key at fault. */
+  /** Reads and validates the file; throws an error whose message names the invalid key. */
   readonly read: (path: string) => Settings;
   readonly log: DecisionLog;
-  /** Keys that take effect at once; a change of any other needs a restart, and the log says so. */
+  /** Keys that a reload applies; the log names other changed keys, which need a restart. */
   readonly reloadable: readonly (keyof Settings & string)[];
-  /** Time between two looks at the file. @default 5,000 ms */
+  /** Interval between checks of the file for changes. @default 5,000 ms */
   readonly pollInterval?: Milliseconds;
 }
 
-/** Holds the settings in force. */
+/** Holds the active settings. */
 export class LiveSettings<Settings extends object> {
   private settings: Settings;
-  /** State of the file before it was last read, so that no later change is missed. */
+  /** State of the file before it was last read, so that no change during the read is missed. */
   private lastFileState: string;
   private timer: NodeJS.Timeout | undefined;
 
@@ -36,24 +36,23 @@
     this.settings = options.read(options.path);
   }
 
-  /** The settings in force. */
+  /** The active settings. */
   get current(): Settings {
     return this.settings;
   }
 
-  /** Follows the file until {@link unwatch}. */
+  /** Reloads the settings on changes of the file, until {@link unwatch}. */
   watch(): void {
     const { pollInterval = DEFAULT_POLL_INTERVAL } = this.options;
     this.timer = setInterval(() => this.poll(), pollInterval);
     this.timer.unref();
   }
 
-  /** Follows the file no more. */
   unwatch(): void {
     clearInterval(this.timer);
   }
 
-  /** Reads the file again; the settings in force stay where it can't be used. */
+  /** Reads the file and applies reloadable keys; an invalid file is logged and ignored. */
   reload(cause: ReloadCause): void {
     const { path, read, log, reloadable } = this.options;
     this.lastFileState = fileState(path);
@@ -85,7 +84,7 @@
   }
 }
 
-/** What changes when a file is written anew; `missing` where there is none. */
+/** Inode, size and modification time of a file, which detect changes; `missing` where there is none. */
 function fileState(path: string): string {
   const stat = statSync(path, { throwIfNoEntry: false });
   return stat === undefined ? 'missing' : `${stat.ino} ${stat.size} ${stat.mtimeMs}`;
--- a/src/settings/load-settings.ts
+++ b/src/settings/load-settings.ts
@@ -1,4 +1,4 @@
-/** Reads the settings file, applies flags, checks everything, and fetches the peer token. */
+/** Loads the settings of a node from a file, flags and environment, including the peer token. */
 import { readFileSync } from 'node:fs';
 import { parse } from 'smol-toml';
 import { Result } from 'true-myth';
@@ -7,16 +7,16 @@
 import type { Settings } from './settings.js';
 import { checkSettings, type WrittenSettings } from './settings-schema.js';
 
-/** Fewest characters of the peer token. */
+/** Minimum length of the peer token, in characters. */
 const MIN_TOKEN_LENGTH = 16;
 
 /** Environment variables by name. */
 export type Environment = Readonly<Record<string, string | undefined>>;
 
-/** The outcome of loading. */
+/** The settings, or all problems found. */
 export type LoadedSettings = Result<Settings, readonly SchemaProblem[]>;
 
-/** Loads the settings of a node from a file; flags override the file's keys. */
+/** Loads the settings of a node; flags override keys of the file. */
 export function loadSettings(
   path: string,
   flags: FlagValues,
@@ -30,7 +30,7 @@
     );
 }
 
-/** Parses TOML; a mistake is reported with its line and column. */
+/** Parses TOML; a syntax error is reported with line and column. */
 export function parseToml(
   path: string,
   text: string,
@@ -43,7 +43,7 @@
   }
 }
 
-/** Reads a text file. */
+/** Reads a text file; `accepted` completes the problem of an unreadable file. */
 export function readText(path: string, accepted: string): Result<string, readonly SchemaProblem[]> {
   try {
     return Result.ok(readFileSync(path, 'utf8'));
@@ -69,7 +69,7 @@
   return found.andThen((text) => {
     const token = text.trim();
     if (token.length >= MIN_TOKEN_LENGTH) return Result.ok<string, readonly SchemaProblem[]>(token);
-    const reason = token === '' ? 'no token is there' : 'the token is too short';
+    const reason = token === '' ? 'the token is missing' : 'the token is too short';
     return Result.err<string, readonly SchemaProblem[]>([{ key, reason, accepted }]);
   });
 }
--- a/src/settings/schema-problems.ts
+++ b/src/settings/schema-problems.ts
@@ -1,32 +1,32 @@
 /**
- * Turns what the schema library reports into problems a person can act on: which key, what is
- * wrong with it, and what would be accepted. Pure; shared by settings and intents.
+ * Validates settings and intents, and converts the issues of the schema library to problems with the
+ * key, the reason and the accepted values.
  */
 import { Result } from 'true-myth';
 import * as z from 'zod';
 import { ACCEPTED_DURATIONS, parseDuration } from './duration.js';
 
-/** One thing that is wrong with a document. */
+/** One validation error of a document. */
 export interface SchemaProblem {
-  /** Path of the key, e.g. `fleet.zones[0].name`; `(document)` for the whole. */
+  /** Path of the key, e.g. `fleet.zones[0].name`; `(document)` for the document itself. */
   readonly key: string;
   readonly reason: string;
-  /** What would be accepted, in words. */
+  /** Human-readable description of accepted values. */
   readonly accepted: string;
 }
 
-/** One line for people. */
+/** Formats a problem as one line of text. */
 export function formatProblem(problem: SchemaProblem): string {
   return `${problem.key}: ${problem.reason}; accepted: ${problem.accepted}`;
 }
 
-/** Names of nodes, zones, accounts, models and intents. */
+/** Format of the names of nodes, zones, accounts, models and intents. */
 const NAME_PATTERN = /^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$/;
 
-/** What {@link nameField} accepts, for messages. */
+/** The format of {@link nameField}, for error messages. */
 const ACCEPTED_NAMES = 'letters, digits, ".", "_" and "-", at most 63 characters';
 
-/** A name in a document; `example` is shown with what is accepted. */
+/** Schema of a name; error messages show the example. */
 export function nameField(example?: string): z.ZodString {
   const suffix = example === undefined ? '' : `, e.g. "${example}"`;
   return z
@@ -35,7 +35,7 @@
     .describe(ACCEPTED_NAMES + suffix);
 }
 
-/** A duration in a document, read into milliseconds. */
+/** Schema of a duration, converted to milliseconds. */
 export function durationField(): z.ZodType<number, string> {
   return z
     .string()
@@ -47,7 +47,7 @@
     .describe(ACCEPTED_DURATIONS);
 }
 
-/** Checks a document against a schema and reports all problems at once. */
+/** Validates a document; reports all problems at once. */
 export function checkDocument<Schema extends z.ZodType>(
   schema: Schema,
   document: unknown,
@@ -93,7 +93,7 @@
   return found instanceof z.ZodObject ? Object.keys(found.shape) : [];
 }
 
-/** The schemas met along a path, from the outermost on; stops where the path leaves the schema. */
+/** The schemas along a path, outermost first, as far as the schema covers the path. */
 function schemasAlong(schema: z.ZodType, path: readonly PropertyKey[]): z.ZodType[] {
   const visited = [schema];
   for (const segment of path) {
@@ -110,19 +110,19 @@
   return visited;
 }
 
-/** The description of a schema, or of the nearest schema inside it that has one. */
+/** The description of a schema, or of the nearest wrapped schema with one. */
 function descriptionOf(schema: z.ZodType | undefined): string | undefined {
   if (schema === undefined) return undefined;
   return schema.description ?? descriptionOf(innerOf(schema));
 }
 
-/** The schema without everything that is wrapped around it. */
+/** The innermost wrapped schema. */
 function unwrap(schema: z.ZodType | undefined): z.ZodType | undefined {
   const inner = schema === undefined ? undefined : innerOf(schema);
   return inner === undefined ? schema : unwrap(inner);
 }
 
-/** What a schema that adds a default, a transformation or the like is wrapped around. */
+/** The schema that an optional, nullable, default or pipe schema wraps. */
 function innerOf(schema: z.ZodType): z.ZodType | undefined {
   if (schema instanceof z.ZodPipe) return schema.in as z.ZodType;
   const wraps =
--- a/src/settings/settings-schema.ts
+++ b/src/settings/settings-schema.ts
@@ -1,6 +1,6 @@
 /**
- * The schema of the settings file (TOML, keys in snake case) and the checks that span several
- * keys. An unknown key is a problem, never ignored.
+ * The schema of the settings file (TOML, keys in snake case) and the checks across keys. Unknown keys
+ * are rejected.
  */
 import { isIP } from 'node:net';
 import { Result } from 'true-myth';
@@ -43,7 +43,7 @@
     .int()
     .min(1)
     .max(9)
-    .refine((count) => count % 2 === 1, 'an even number gives no better majority')
+    .refine((count) => count % 2 === 1, 'an even number of replicas tolerates no more failures')
     .default(3)
     .describe('an odd whole number from 1 to 9'),
 });
@@ -64,7 +64,7 @@
   })
   .refine(
     (peers) => (peers.token_file === undefined) !== (peers.token_variable === undefined),
-    'exactly one source of the token must be named',
+    'exactly one source of the token is required',
   )
   .describe('token_file or token_variable, not both');
 
@@ -84,7 +84,6 @@
   machine_list_interval: duration('1s'),
 });
 
-/** The written form of the settings. */
 const settingsSchema = z.strictObject({
   node: nodeSchema,
   platform: platformSchema,
@@ -98,10 +97,10 @@
     .prefault({}),
 });
 
-/** A checked settings file. */
+/** A valid settings document, with the keys of the file. */
 export type WrittenSettings = z.output<typeof settingsSchema>;
 
-/** Checks a settings document; reports all problems of form, or else all that span keys. */
+/** Validates a document; checks across keys run only if each key is valid. */
 export function checkSettings(
   document: unknown,
 ): Result<WrittenSettings, readonly SchemaProblem[]> {
@@ -159,7 +158,7 @@
 
 function duration(defaultValue: string) {
   return durationField()
-    .refine((value) => value > 0, 'this must be longer than nothing')
+    .refine((value) => value > 0, 'the duration must be above 0')
     .prefault(defaultValue);
 }
 
--- a/src/settings/settings.ts
+++ b/src/settings/settings.ts
@@ -1,10 +1,10 @@
-/** The settings of one node, checked and with defaults filled in. */
+/** The validated settings of one node, with defaults applied. */
 import type { AccountName, RegionName, ZoneName } from '../core/identity.js';
 import type { Milliseconds } from '../core/units.js';
 
-/** Who this node is and where it listens. */
+/** Identity and addresses of the node. */
 export interface NodeSettings {
-  /** Stable name of the node's place in the fleet. */
+  /** Name of the node, stable across restarts. */
   readonly name: string;
   readonly zone: ZoneName;
   readonly region: RegionName;
@@ -14,13 +14,13 @@
   readonly listen: string;
   /** `ip:port` for other nodes. */
   readonly peerListen: string;
-  /** Address by which other nodes reach this one; the one listened on unless set. */
+  /** Address at which other nodes reach this one. @default peerListen */
   readonly peerAdvertise: string;
   /** Folder for bulk data; `null` on a machine without a disk. @default null */
   readonly dataFolder: string | null;
 }
 
-/** Where the platform's services are. */
+/** Addresses of the services of the platform. */
 export interface PlatformSettings {
   /** `ip:port` of each endpoint of the key-value service; at least one. */
   readonly keyValue: readonly string[];
@@ -28,13 +28,12 @@
   readonly machineList: string;
 }
 
-/** One zone of the fleet. */
 export interface ZoneSettings {
   readonly name: ZoneName;
   readonly region: RegionName;
 }
 
-/** The shape of the whole fleet; the same on every node. */
+/** Topology of the fleet; the same on every node. */
 export interface FleetSettings {
   readonly zones: readonly ZoneSettings[];
   /** Shards of the ledger in each residency domain. @default 4 */
@@ -43,10 +42,10 @@
   readonly replicas: number;
 }
 
-/** What an account may do. */
+/** Permissions of an account. */
 export type AccountRole = 'trainer' | 'caller' | 'operator';
 
-/** One account that may call this node. */
+/** An account that may call this node. */
 export interface AccountSettings {
   readonly name: AccountName;
   readonly role: AccountRole;
@@ -54,44 +53,44 @@
   readonly tokenDigest: string;
 }
 
-/** What nodes show each other. */
+/** Authentication between nodes. */
 export interface PeerSettings {
   /** Token shared by all nodes, without surrounding white space; never logged. */
   readonly token: string;
 }
 
-/** Limits that bound a node's memory. Sizes are in bytes. */
+/** Limits of the memory of a node. Sizes are in bytes. */
 export interface LimitSettings {
-  /** Largest request body. @default 4194304 */
+  /** Maximum size of a request body. @default 4194304 */
   readonly maxBodyBytes: number;
-  /** Largest request header block. @default 16384 */
+  /** Maximum size of the request headers. @default 16384 */
   readonly maxHeaderBytes: number;
-  /** Time in which a request body must have arrived, in milliseconds. @default 10000 */
+  /** Timeout of receiving a request body, in milliseconds. @default 10000 */
   readonly bodyTimeout: Milliseconds;
-  /** Most connections of callers at once. @default 1024 */
+  /** Maximum number of open connections of callers. @default 1024 */
   readonly maxConnections: number;
-  /** Most results kept by the ledger replicas of this node. @default 67108864 */
+  /** Maximum size of the results stored by the ledger replicas of this node. @default 67108864 */
   readonly maxResultBytes: number;
 }
 
-/** Times, in milliseconds. */
+/** Timeouts and intervals, in milliseconds. */
 export interface TimingSettings {
-  /** Age from which the configuration is no longer fresh. @default 6000 */
+  /** Age at which the configuration becomes stale. @default 6000 */
   readonly freshnessBound: Milliseconds;
-  /** Longest time a stop waits for running work. @default 60000 */
+  /** Maximum time that a shutdown waits for running work. @default 60000 */
   readonly stopTimeout: Milliseconds;
-  /** Deadline of a request that names none. @default 60000 */
+  /** Timeout of a request without a deadline. @default 60000 */
   readonly requestTimeout: Milliseconds;
   /** Timeout of one request to the key-value service. @default 2000 */
   readonly keyValueTimeout: Milliseconds;
-  /** Time between two reads of the machine list. @default 1000 */
+  /** Polling interval of the machine list. @default 1000 */
   readonly machineListInterval: Milliseconds;
 }
 
-/** Levels of the log, quietest last. */
+/** Log levels, least verbose last. */
 export type LogLevel = 'debug' | 'info' | 'warn' | 'error' | 'silent';
 
-/** Everything a node is told. */
+/** All settings of a node. */
 export interface Settings {
   readonly node: NodeSettings;
   readonly platform: PlatformSettings;
--- a/src/telemetry/counters.ts
+++ b/src/telemetry/counters.ts
@@ -1,4 +1,4 @@
-/** Counters and gauges of one node, over the closed list in `metric-table.ts`. */
+/** Counters and gauges of one node; `metric-table.ts` lists them. */
 import { Counter, collectDefaultMetrics, Gauge, Registry } from 'prom-client';
 import {
   COUNTERS,
@@ -11,17 +11,17 @@
 
 /** Settings of {@link NodeCounters}. */
 export interface NodeCountersOptions {
-  /** Whether to add the library's metrics of the process: CPU, memory, event loop. @default false */
+  /** Whether to add the metrics of `prom-client` for CPU, memory and event loop. @default false */
   readonly withProcessMetrics?: boolean;
 }
 
 /**
- * Time between two samples of the event loop's delay, in milliseconds. The library's default of 10
- * wakes an idle process a hundred times a second. Its percentiles of the delay include this time.
+ * Sampling interval of the event-loop delay; the reported percentiles include it. The default of the
+ * library, 10 ms, wakes an idle process 100 times a second.
  */
 const EVENT_LOOP_SAMPLE_INTERVAL_MS = 50;
 
-/** Counters and gauges of one node, in a registry of their own. */
+/** Counters and gauges of one node, in a separate registry. */
 export class NodeCounters {
   readonly #registry = new Registry();
   readonly #counters: ReadonlyMap<string, Counter>;
@@ -37,7 +37,7 @@
     });
   }
 
-  /** Raises a counter; `amount` must not be negative. */
+  /** Increments a counter; `amount` must not be negative. */
   increment<Name extends CounterName>(
     name: Name,
     labels: LabelsOf<(typeof COUNTERS)[Name]>,
@@ -46,7 +46,6 @@
     this.#counters.get(name)?.inc(labels, amount);
   }
 
-  /** Sets a gauge. */
   set<Name extends GaugeName>(
     name: Name,
     labels: LabelsOf<(typeof GAUGES)[Name]>,
@@ -55,12 +54,12 @@
     this.#gauges.get(name)?.set(labels, value);
   }
 
-  /** Drops all values of a gauge, before its labels are set anew. */
+  /** Removes all label values of a gauge. */
   clear(name: GaugeName): void {
     this.#gauges.get(name)?.reset();
   }
 
-  /** Where further metrics of this node are registered. */
+  /** The registry, for further metrics of this node. */
   get registry(): Registry {
     return this.#registry;
   }
@@ -76,7 +75,7 @@
   }
 }
 
-/** What the library needs to make one metric. */
+/** Constructor options of one metric. */
 interface MetricSettings {
   readonly name: string;
   readonly help: string;
--- a/src/telemetry/decision-log.ts
+++ b/src/telemetry/decision-log.ts
@@ -1,8 +1,6 @@
 /**
- * The log of decisions: one JSON line for each decision that touches a request or changes what the
- * process believes. A budget a second bounds the volume; lines beyond it are counted by event and
- * told in one line. Writing never waits for the reader: beyond a bound of buffered bytes the
- * library drops lines.
+ * Logs decisions and state changes as JSON lines. Decisions are rate-limited: dropped lines are counted
+ * by event and logged in one line. Writing never blocks; the library drops lines when its buffer is full.
  */
 import { type DestinationStream, type Logger, pino } from 'pino';
 import type { NodeId, ZoneName } from '../core/identity.js';
@@ -15,18 +13,18 @@
   readonly node: NodeId;
   readonly zone: ZoneName;
   readonly clock: Clock;
-  /** Lines about single requests in one second. @default 60 */
+  /** Limit of decision lines per second. @default 60 */
   readonly linesPerSecond?: number;
-  /** Where lines go. @default standard output, without waiting for it */
+  /** Destination of the lines. @default standard output, asynchronous */
   readonly destination?: DestinationStream;
 }
 
 const DEFAULT_LINES_PER_SECOND = 60;
 
-/** Bytes that wait for a reader at most; beyond it lines are dropped. */
+/** Buffer of the asynchronous destination; lines that exceed it are dropped. */
 const MAX_BUFFERED_BYTES = 1_048_576;
 
-/** Writes decisions and changes of state. */
+/** Writes decisions, state changes and faults. */
 export class DecisionLog {
   private readonly logger: Logger;
   private readonly linesPerWindow: number;
@@ -46,12 +44,12 @@
     this.linesPerWindow = options.linesPerSecond ?? DEFAULT_LINES_PER_SECOND;
   }
 
-  /** A change of what the process believes; always written, as such changes are few. */
+  /** Logs a state change; not rate-limited, as state changes are rare. */
   state(event: string, details: ChangeDetails = {}): void {
     this.logger.info(details, event);
   }
 
-  /** A decision about one request or item; counted instead where the budget is used up. */
+  /** Logs a decision about one request or item; only counts it when the rate limit is reached. */
   decision(event: string, details: ChangeDetails): void {
     this.startWindowIfDue();
     if (this.linesInWindow >= this.linesPerWindow) {
@@ -62,7 +60,7 @@
     this.logger.info(details, event);
   }
 
-  /** A fault of wardwing itself. */
+  /** Logs an internal error. */
   fault(event: string, error: unknown): void {
     this.logger.error({ err: error }, event);
   }
--- a/src/telemetry/explain-log.ts
+++ b/src/telemetry/explain-log.ts
@@ -1,21 +1,17 @@
-/**
- * The decisions a node took lately, kept to be explained: a bounded ring with an index by subject.
- * Pure; records never leave the node except in answer to an operator.
- */
+/** Ring buffer of the latest decisions of a node, indexed by subject, for operators' explain requests. */
 import type { ExplainRecord } from '../node/calls.js';
 
 /** Settings of {@link ExplainLog}. */
 export interface ExplainLogOptions {
-  /** Most records kept; the oldest are dropped. @default 4096 */
+  /** Maximum number of records; the oldest are evicted. @default 4096 */
   readonly capacity?: number;
 }
 
 const DEFAULT_CAPACITY = 4_096;
 
-/** Decisions of one node. */
 export class ExplainLog {
   readonly #capacity: number;
-  /** Ring of records; {@link #next} is the place written next, and the oldest once it is full. */
+  /** Ring of records; {@link #nextIndex} is written next and, in a full ring, is the oldest record. */
   readonly #ring: ExplainRecord[] = [];
   readonly #bySubject = new Map<string, ExplainRecord[]>();
   #nextIndex = 0;
@@ -24,12 +20,12 @@
     this.#capacity = Math.max(1, options.capacity ?? DEFAULT_CAPACITY);
   }
 
-  /** Number of records kept. */
+  /** Number of records. */
   get size(): number {
     return this.#ring.length;
   }
 
-  /** Keeps a record, dropping the oldest one when full. */
+  /** Adds a record; evicts the oldest one of a full ring. */
   add(record: ExplainRecord): void {
     const oldest = this.#ring[this.#nextIndex];
     if (oldest !== undefined) this.#removeFromIndex(oldest);
@@ -45,7 +41,7 @@
     return [...(this.#bySubject.get(subject) ?? [])];
   }
 
-  /** Drops the record from the index; as the oldest of all, it is the first of its subject. */
+  /** Removes the oldest record from the index; it is the first one of its subject. */
   #removeFromIndex(record: ExplainRecord): void {
     const records = this.#bySubject.get(record.subject);
     records?.shift();
--- a/src/telemetry/fleet-metrics.ts
+++ b/src/telemetry/fleet-metrics.ts
@@ -1,11 +1,11 @@
 /**
- * Counters and latency histograms of one gateway, in the Prometheus text format. The closed lists
- * below name every metric; labels have few values each.
+ * Counters, gauges and latency histograms of one gateway, in the Prometheus text format. Labels have
+ * few values each.
  */
 import { Counter, Gauge, Histogram, Registry } from 'prom-client';
 import type { Milliseconds } from '../core/units.js';
 
-/** A closed list of counters: help text and label names. */
+/** All counters: help text and label names. */
 const COUNTERS = {
   requests: { help: 'Requests of callers that came to an end', labels: ['kind', 'outcome'] },
   item_runs: { help: 'Runs of items at workers, by how they ended', labels: ['end'] },
@@ -70,7 +70,7 @@
   peer_calls: { help: 'Calls to other nodes', labels: ['call', 'outcome'] },
 } as const;
 
-/** A closed list of gauges. */
+/** All gauges. */
 const GAUGES = {
   configuration_version: { help: 'Version of the configuration in force' },
   live_nodes: { help: 'Nodes of the fleet that count as live' },
@@ -83,7 +83,7 @@
   is_coordinator: { help: '1 while this node may order weights' },
 } as const;
 
-/** A closed list of histograms, in seconds. */
+/** All histograms, in seconds. */
 const HISTOGRAMS = {
   request_seconds: { help: 'Time to the answer of a request', labels: ['kind'] },
   item_seconds: { help: 'Age of an item when it was whole, since its submission', labels: [] },
@@ -95,11 +95,8 @@
 const METRIC_PREFIX = 'wardwing_fleet_';
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** Name of a counter. */
 export type FleetCounter = keyof typeof COUNTERS;
-/** Name of a gauge. */
 export type FleetGauge = keyof typeof GAUGES;
-/** Name of a histogram. */
 export type FleetHistogram = keyof typeof HISTOGRAMS;
 /** Label values by label name. */
 export type MetricLabels = Readonly<Record<string, string>>;
@@ -141,29 +138,28 @@
     }
   }
 
-  /** Raises a counter. */
+  /** Increments a counter. */
   count(name: FleetCounter, labels: MetricLabels, amount = 1): void {
     this.counters.get(name)?.inc(labels, amount);
     const key = [name, ...Object.values(labels)].join('.');
     this.totals.set(key, (this.totals.get(key) ?? 0) + amount);
   }
 
-  /** Sets a gauge. */
   set(name: FleetGauge, value: number): void {
     this.gauges.get(name)?.set(value);
   }
 
-  /** Notes a duration. */
+  /** Records a duration in a histogram. */
   observe(name: FleetHistogram, labels: MetricLabels, duration: Milliseconds): void {
     this.histograms.get(name)?.observe(labels, duration / MILLISECONDS_PER_SECOND);
   }
 
-  /** All counters since the start, as `name.label` to count. */
+  /** All counts since the start, by counter name and label values joined by dots. */
   snapshot(): Readonly<Record<string, number>> {
     return Object.fromEntries(this.totals);
   }
 
-  /** All metrics in the text format. */
+  /** All metrics in the Prometheus text format. */
   text(): Promise<string> {
     return this.registry.metrics();
   }
--- a/src/telemetry/log-trace.ts
+++ b/src/telemetry/log-trace.ts
@@ -1,19 +1,18 @@
 /**
- * Traces one request, item, job or worker through the logs of several nodes: the decisions that
- * name it, those about its job, and the changes of state around them on the nodes and workers that
- * took part.
+ * Traces a request, item, job or worker through the logs of several nodes: lines that name it, lines
+ * about its job, and state changes of the involved nodes and workers around that time.
  */
 
-/** One line of a log. */
+/** One parsed log line. */
 export interface LogLine {
-  /** Milliseconds since 1970, by the clock of its node. */
+  /** Unix time in milliseconds, by the clock of the node. */
   readonly at: number;
   readonly node: string;
   readonly event: string;
   readonly fields: Readonly<Record<string, string | number | boolean>>;
 }
 
-/** Why a line is part of a trace. */
+/** Why a line is part of a trace: it names the subject, names its job, or is a state change. */
 export type TraceRelation = 'subject' | 'job' | 'context';
 
 /** One line of a trace. */
@@ -21,7 +20,7 @@
   readonly relation: TraceRelation;
 }
 
-/** Changes of state that explain decisions around them. */
+/** State changes that a trace includes as context. */
 const CONTEXT_EVENTS = new Set([
   'started',
   'stopping',
@@ -40,16 +39,16 @@
   'log-lines-dropped',
 ]);
 
-/** Events about single items, of which a job has hundreds; they are told for the subject only. */
+/** Events about single items; a trace omits those of other items of the same job. */
 const ITEM_EVENTS = new Set(['item-run-completed', 'item-run-ended']);
 
-/** Time before and after the subject's own lines from which context is told, in milliseconds. */
+/** Time before the first and after the last line of the subject that context lines cover. */
 const CONTEXT_WINDOW_MS = 3_000;
 
-/** Fields of every line that are told apart from the others. */
+/** Fields of every line; `LogLine.fields` omits them. */
 const COMMON_FIELDS = new Set(['level', 'time', 'node', 'zone', 'msg']);
 
-/** Reads a line; whatever stands before its JSON is passed over. `undefined` for other lines. */
+/** Parses a line, skipping a prefix before its JSON object; `undefined` for other lines. */
 export function parseLogLine(text: string): LogLine | undefined {
   const start = text.indexOf('{');
   if (start < 0) return undefined;
@@ -68,7 +67,7 @@
   }
 }
 
-/** The lines that tell what became of a subject, in order of time; empty where none names it. */
+/** The trace of a subject, in order of time; empty where no line names the subject. */
 export function traceSubject(lines: readonly LogLine[], subject: string): TraceLine[] {
   const subjectLines = lines.filter((line) => Object.values(line.fields).includes(subject));
   if (subjectLines.length === 0) return [];
@@ -98,7 +97,7 @@
     .sort((left, right) => left.at - right.at);
 }
 
-/** One line of a trace as text; `start` is the time from which it counts. */
+/** Formats a line with its time relative to `start`, a Unix time in milliseconds. */
 export function formatTraceLine(line: TraceLine, start: number): string {
   const seconds = ((line.at - start) / 1_000).toFixed(3).padStart(9);
   const mark = line.relation === 'subject' ? '*' : ' ';
--- a/src/telemetry/logger.ts
+++ b/src/telemetry/logger.ts
@@ -1,7 +1,4 @@
-/**
- * The log: one JSON object a line on standard output, for changes of state only. What happens
- * often is counted instead; see `counters.ts`.
- */
+/** Logs state changes and faults as JSON lines; frequent events are counted instead (`counters.ts`). */
 import { type DestinationStream, type Logger, pino } from 'pino';
 import type { NodeId, ZoneName } from '../core/identity.js';
 import type { ChangeDetails } from '../core/state-change.js';
@@ -12,19 +9,19 @@
   readonly zone: ZoneName;
   /** @default 'info' */
   readonly level?: 'debug' | 'info' | 'warn' | 'error' | 'silent';
-  /** Where lines go. @default standard output */
+  /** Destination of the lines. @default standard output */
   readonly destination?: DestinationStream;
 }
 
 /** The log of one node. */
 export interface NodeLogger {
-  /** Writes one line: which module, what changed, and the facts. */
+  /** Logs a state change of a module. */
   logStateChange(module: string, change: string, details: ChangeDetails): void;
-  /** Writes one line about a fault of wardwing itself. */
+  /** Logs an internal error. */
   logFault(module: string, fault: unknown): void;
 }
 
-/** Makes the log of a node; every line bears the node and its zone. */
+/** Creates the log of a node; every line has the fields `node` and `zone`. */
 export function createLogger(options: LoggerOptions): NodeLogger {
   const logger = createPino(options);
   return {
--- a/src/telemetry/metric-table.ts
+++ b/src/telemetry/metric-table.ts
@@ -1,9 +1,9 @@
 /**
- * The closed list of counters and gauges that the process itself keeps: name, help text and labels
- * of each. What the decision core counts is listed in `src/core/counter-names.ts`.
+ * Counters and gauges of the process: name, help text and labels. `src/core/counter-names.ts` lists
+ * the counters of the decision modules.
  */
 
-/** Counters, which only rise. */
+/** All counters. */
 export const COUNTERS = {
   wardwing_requests_total: metric('Calls that reached the node, by kind of call.', ['call']),
   wardwing_refusals_total: metric('Calls answered with a failure, by kind of error.', ['kind']),
@@ -16,7 +16,7 @@
   wardwing_state_changes_total: metric('Changes of state, as logged, by module.', ['module']),
 } as const satisfies Record<string, MetricDescription>;
 
-/** Gauges, which rise and fall. */
+/** All gauges. */
 export const GAUGES = {
   wardwing_configuration_revision: metric('Revision of the configuration in force here.', []),
   wardwing_configuration_age_seconds: metric('Age of the configuration, in seconds.', []),
@@ -30,19 +30,17 @@
   wardwing_groups_under_strength: metric('Ledger groups with too few live members.', []),
 } as const satisfies Record<string, MetricDescription>;
 
-/** What describes one metric. */
+/** Help text and label names of one metric. */
 export interface MetricDescription {
   readonly help: string;
   readonly labels: readonly string[];
 }
 
-/** Name of a counter. */
 export type CounterName = keyof typeof COUNTERS;
 
-/** Name of a gauge. */
 export type GaugeName = keyof typeof GAUGES;
 
-/** The labels a metric must be given, each with its value. */
+/** The required labels of a metric with their values. */
 export type LabelsOf<Description extends MetricDescription> = Readonly<
   Record<Description['labels'][number], string>
 >;
--- a/src/telemetry/node-metrics.ts
+++ b/src/telemetry/node-metrics.ts
@@ -1,7 +1,4 @@
-/**
- * Brings the counts of a node's decision core and of its transport into the process's metrics at
- * the moment they are asked for.
- */
+/** Exports the counters and gauges of a node and of its transport; reads them at each scrape. */
 import { Counter, type Registry } from 'prom-client';
 import { COUNTER_HELP, COUNTER_NAMES, type CounterName } from '../core/counter-names.js';
 import type { Milliseconds } from '../core/units.js';
@@ -12,7 +9,7 @@
 /** Prefix of all metrics. */
 const METRIC_PREFIX = 'wardwing_';
 
-/** The state of a node at one moment. */
+/** Values of the gauges of a node. */
 export interface NodeGauges {
   readonly revision: number;
   /** Infinite where the configuration was never fresh. */
@@ -27,21 +24,20 @@
   readonly groupsUnderStrength: number;
 }
 
-/** What is read when metrics are asked for. */
+/** Sources that each scrape reads. */
 export interface MetricSources {
   counters(): Readonly<Record<CounterName, number>>;
   gauges(): NodeGauges;
   transport(): Readonly<TransportStats>;
 }
 
-/** A value that only rises. */
+/** A value that never decreases. */
 interface MonotonicValue {
   readonly name: string;
   readonly help: string;
   readonly read: () => number;
 }
 
-/** Metrics of one node. */
 export class NodeMetrics {
   constructor(
     private readonly counters: NodeCounters,
@@ -53,7 +49,7 @@
     this.addStats('transport', 'Node-to-node transport', () => sources.transport());
   }
 
-  /** Exports counts that only rise, named by the prefix and the count's own name. */
+  /** Exports counters with a prefix; their names become snake case. */
   addStats<Name extends string>(
     prefix: string,
     help: string,
--- a/test/settings/live-settings.test.ts
+++ b/test/settings/live-settings.test.ts
@@ -41,7 +41,7 @@
   return { live, write, lines, log, file };
 }
 
-t.test('a reload takes times in, and says what needs a restart', async (t) => {
+t.test('a reload applies timings, and logs the keys that need a restart', async (t) => {
   const { live, write, lines } = startLiveSettings(t);
   write(['grace_s=8', 'grace_s=5'], ['zone=hall-1', 'zone=hall-2']);
   live.reload('signal');
@@ -55,7 +55,7 @@
   });
 });
 
-t.test('a file that cannot be used changes nothing, and the log names the key', async (t) => {
+t.test('an invalid file changes nothing, and the log names the key', async (t) => {
   const { live, write, lines } = startLiveSettings(t);
   write(['grace_s=8', 'grace_s=soon']);
   live.reload('signal');
@@ -63,7 +63,7 @@
   t.match(JSON.parse(lines.at(-1) ?? ''), { msg: 'settings-rejected', problem: /bounds\.grace_s/ });
 });
 
-t.test('a file that changes without a signal is read again', async (t) => {
+t.test('a changed file is reloaded without a signal', async (t) => {
   const { live, write } = startLiveSettings(t);
   live.watch();
   t.teardown(() => live.unwatch());
@@ -71,7 +71,7 @@
   await eventually(() => live.current.timings.stopLimit === 5_500);
 });
 
-t.test('a change just before the file is followed is not missed', async (t) => {
+t.test('a change between the first read and the watch is detected', async (t) => {
   const { live, write } = startLiveSettings(t);
   write(['grace_s=8', 'grace_s=4.5']);
   live.watch();
@@ -79,7 +79,7 @@
   await eventually(() => live.current.timings.stopLimit === 4_500);
 });
 
-t.test('a file that is gone changes nothing, and is said once', async (t) => {
+t.test('a missing file changes nothing, and is logged once', async (t) => {
   const { live, lines, file } = startLiveSettings(t);
   rmSync(file);
   live.watch();
@@ -91,7 +91,7 @@
   t.equal(live.current.timings.stopLimit, 8_000);
 });
 
-t.test('a file that cannot be used at the start ends the start', async (t) => {
+t.test('an invalid file at the start is an error', async (t) => {
   const { write, log, file } = startLiveSettings(t);
   write(['ip=10.0.0.1', '']);
   const start = (): unknown =>
--- a/test/settings/load-settings.test.ts
+++ b/test/settings/load-settings.test.ts
@@ -19,7 +19,7 @@
   return loaded.error;
 }
 
-t.test('a file is read into plain numbers, with defaults', async (t) => {
+t.test('a file is converted to plain numbers, with defaults', async (t) => {
   const settings = load(SETTINGS_TEXT).unwrapOrElse((problems) => {
     throw new Error(JSON.stringify(problems));
   });
@@ -35,7 +35,7 @@
   });
 });
 
-t.test('a node is reached where it listens unless another address is named', async (t) => {
+t.test('a node advertises its listen address by default', async (t) => {
   const addressOf = (text: string) =>
     load(text)
       .map((settings) => settings.node.peerAdvertise)
@@ -46,7 +46,7 @@
   t.equal(addressOf(SETTINGS_TEXT.replace(listen, advertised)), '127.0.0.1:9000');
 });
 
-t.test('flags override the file and are checked like it', async (t) => {
+t.test('flags override the file and are validated like it', async (t) => {
   const flags = { name: 'abdali-2', 'key-value': '127.0.0.1:1,127.0.0.1:2', 'log-level': 'warn' };
   const settings = load(SETTINGS_TEXT, flags).unwrapOrElse(() => t.fail() as never);
   t.equal(settings.node.name, 'abdali-2');
@@ -56,7 +56,7 @@
   t.match(wrong.isErr && wrong.error, [{ key: 'node.zone', accepted: 'abdali-hall, marka-hall' }]);
 });
 
-t.test('each mistake is named by key, with the reason and what is accepted', async (t) => {
+t.test('each problem has the key, the reason and the accepted values', async (t) => {
   const text = SETTINGS_TEXT.replace('machine = "m-1"', 'machnie = "m-1"')
     .replace('zone = "abdali-hall"\n', '')
     .replace('"2500ms"', '"2500"')
@@ -72,10 +72,10 @@
   t.match(problems.get('accounts[0].role'), { accepted: 'trainer, caller, operator' });
   t.match(problems.get('timing.freshness_bound'), { accepted: /number with a unit/ });
   t.match(problems.get('fleet.shard'), { accepted: /zones, shards_per_domain, replicas/ });
-  t.equal(problems.size, 8, 'and nothing else');
+  t.equal(problems.size, 8, 'no other problems');
 });
 
-t.test('checks that span keys', async (t) => {
+t.test('problems across keys are reported', async (t) => {
   const other = SETTINGS_TEXT.replace('region = "amman"\nmachine', 'region = "kigali"\nmachine');
   t.match(problemsOf(other), [{ key: 'node.region', accepted: 'amman' }]);
   const digest = /token_digest = .*/.exec(SETTINGS_TEXT)?.[0] ?? '';
@@ -100,12 +100,12 @@
   t.match(problemsOf(fromFile), [{ reason: 'the token is too short' }]);
 });
 
-t.test('a file that is not TOML, or not there', async (t) => {
+t.test('a file that is not TOML or is missing is a problem', async (t) => {
   t.match(problemsOf('[node\nname = 1'), [{ accepted: 'a TOML document' }]);
   t.ok(loadSettings(`${file}.missing`, {}, {}).isErr);
 });
 
-t.test('durations need a unit', async (t) => {
+t.test('durations require a unit', async (t) => {
   for (const [text, value] of Object.entries({ '500ms': 500, '1.5s': 1_500, '10m': 600_000 })) {
     t.equal(parseDuration(text).unwrapOr(-1), value);
   }
--- a/test/telemetry/log-trace.test.ts
+++ b/test/telemetry/log-trace.test.ts
@@ -25,29 +25,32 @@
 
 const parsed = LOG.map(parseLogLine).filter((entry) => entry !== undefined);
 
-t.test('the chain of an item: its runs, its job, and what happened around them', async (t) => {
-  const trace = traceSubject(parsed, 'i1');
-  t.same(
-    trace.map(({ node, event, relation }) => [node, event, relation]),
-    [
-      ['n1', 'job-submitted', 'job'],
-      ['n1', 'item-run-ended', 'subject'],
-      ['n1', 'worker-gone', 'context'],
-      ['n2', 'job-adopted', 'job'],
-      ['n2', 'item-run-completed', 'subject'],
-      ['n2', 'store-lost', 'context'],
-    ],
-  );
-  const [, second] = trace;
-  const text = second && formatTraceLine(second, 1_700_000_000_000);
-  t.match(text, /0\.500 s \* n1 {2}item-run-ended {2}item=i1 job=j1 worker=w1 end=interrupted/);
-});
+t.test(
+  'the trace of an item has its runs, its job and the state changes around them',
+  async (t) => {
+    const trace = traceSubject(parsed, 'i1');
+    t.same(
+      trace.map(({ node, event, relation }) => [node, event, relation]),
+      [
+        ['n1', 'job-submitted', 'job'],
+        ['n1', 'item-run-ended', 'subject'],
+        ['n1', 'worker-gone', 'context'],
+        ['n2', 'job-adopted', 'job'],
+        ['n2', 'item-run-completed', 'subject'],
+        ['n2', 'store-lost', 'context'],
+      ],
+    );
+    const [, second] = trace;
+    const text = second && formatTraceLine(second, 1_700_000_000_000);
+    t.match(text, /0\.500 s \* n1 {2}item-run-ended {2}item=i1 job=j1 worker=w1 end=interrupted/);
+  },
+);
 
 t.test('a subject that no line names has no trace', async (t) => {
   t.same(traceSubject(parsed, 'unknown'), []);
 });
 
-t.test('a flood of decisions is bounded and its rest counted by event', async (t) => {
+t.test('decisions beyond the rate limit are counted by event', async (t) => {
   const clock = new ManualClock();
   const lines: string[] = [];
   const destination = { write: (text: string) => void lines.push(text) };
@@ -55,14 +58,14 @@
   for (let index = 0; index < 10_000; index += 1) log.decision('request-answered', { index });
   t.equal(lines.length, 50);
   log.state('store-lost');
-  t.equal(lines.length, 51, 'a change of state is always written');
+  t.equal(lines.length, 51, 'a state change is always written');
   clock.time += 1_000;
   log.decision('request-answered', { index: 0 });
   const dropped = lines.map((text) => JSON.parse(text)).find((e) => e.msg === 'log-lines-dropped');
   t.equal(dropped?.['request-answered'], 9_950);
 });
 
-t.test('a reader that never reads holds nothing up', async (t) => {
+t.test('a destination that never drains does not block the log', async (t) => {
   const log = new DecisionLog({
     node: 'n',
     zone: 'z',
@@ -70,5 +73,5 @@
     destination: { write: () => false as unknown as undefined },
   });
   for (let index = 0; index < 1_000; index += 1) log.state('store-lost');
-  t.pass('all lines were handed over without waiting');
+  t.pass('all lines were written without blocking');
 });
--- a/test/telemetry/telemetry.test.ts
+++ b/test/telemetry/telemetry.test.ts
@@ -4,7 +4,7 @@
 import { createLogger } from '../../src/telemetry/logger.js';
 import { COUNTERS, GAUGES } from '../../src/telemetry/metric-table.js';
 
-t.test('counters and gauges, each node with its own', async (t) => {
+t.test('each node has separate counters and gauges', async (t) => {
   const counters = new NodeCounters();
   const other = new NodeCounters();
   counters.increment('wardwing_refusals_total', { kind: 'cut_off' });
@@ -22,7 +22,7 @@
   t.match(counters.contentType, 'text/plain');
 });
 
-t.test('the log writes one line a change, with the node and its zone', async (t) => {
+t.test('the log writes one line for each state change, with node and zone', async (t) => {
   const lines: string[] = [];
   const destination = { write: (line: string) => lines.push(line) };
   const logger = createLogger({ node: 'abdali-1', zone: 'abdali-hall', destination });
@@ -42,7 +42,7 @@
   );
 });
 
-t.test('the explain log keeps the newest records and finds them by subject', async (t) => {
+t.test('the explain log retains the newest records and finds them by subject', async (t) => {
   const log = new ExplainLog({ capacity: 4 });
   for (let at = 0; at < 10; at += 1) {
     log.add({ at, subject: `step-${at % 3}`, decision: 'sent', reason: 'free slot' });
