--- a/src/cli/client-command.ts
+++ b/src/cli/client-command.ts
@@ -1,4 +1,4 @@
-/** What all commands that ask a node share: flags, the client, and the report of failures. */
+/** Shared by commands that send a request to a node: flags, client and error reports. */
 import { Result } from 'true-myth';
 import { readText } from '../settings/load-settings.js';
 import type { SchemaProblem } from '../settings/schema-problems.js';
@@ -14,24 +14,24 @@
 import { EXIT_CODES, type ExitCode } from './exit-codes.js';
 import { type ClientFailure, OperatorClient, type OperatorRequest } from './operator-client.js';
 
-/** Environment variable with the operator's token. */
+/** Environment variable with the token of the operator. */
 const TOKEN_VARIABLE = 'WARDWING_TOKEN';
 
-/** Flags of every command that asks a node. */
+/** Flags of every command that sends a request to a node. */
 export const CLIENT_FLAGS: readonly CommandFlag[] = [
   valueFlag('endpoint', 'ip:port of a node, any one of the fleet (required)'),
   valueFlag('token-file', `File with your token; otherwise ${TOKEN_VARIABLE} is read`),
-  switchFlag('json', 'Print one line of JSON in place of text'),
+  switchFlag('json', 'Print one line of JSON instead of text'),
 ];
 
-/** Makes the client that the flags describe. */
+/** Creates a client from the flags, or reports invalid flags. */
 export function clientOf(input: CommandInput): Result<OperatorClient, readonly SchemaProblem[]> {
   return endpointOf(input).andThen((endpoint) =>
     tokenOf(input).map((token) => new OperatorClient({ ...endpoint, token })),
   );
 }
 
-/** Sends one request and prints the answer; `changes` says whether the request changes anything. */
+/** Sends one request and prints the answer; `changes` marks requests that change state. */
 export async function requestAndPrint(
   input: CommandInput,
   request: OperatorRequest,
@@ -45,14 +45,14 @@
   return EXIT_CODES.ok;
 }
 
-/** Prints a document as text, or as one line of JSON. */
+/** Prints a document as text or, with `--json`, as one line of JSON. */
 export function printDocument(input: CommandInput, document: unknown): void {
   const text =
     input.flags.json === true ? JSON.stringify(document) : renderDocument(document).join('\n');
   input.terminal.writeLine(text);
 }
 
-/** Reports why there is no answer and chooses the exit code. */
+/** Prints a failure and returns the exit code. */
 export function reportFailure(
   input: CommandInput,
   failure: ClientFailure,
--- a/src/cli/command.ts
+++ b/src/cli/command.ts
@@ -1,14 +1,14 @@
-/** What a command of the `wardwing` program is, and what it is given. */
+/** The interface of commands of the `wardwing` program. */
 import type { FlagValues } from '../settings/flags.js';
 import type { Environment } from '../settings/load-settings.js';
 import { formatProblem, type SchemaProblem } from '../settings/schema-problems.js';
 import { EXIT_CODES, type ExitCode } from './exit-codes.js';
 
-/** The world outside a command, replaced in tests. */
+/** Output, environment and timer of a command; tests replace it. */
 export interface CommandTerminal {
-  /** Writes one line for the user or a script. */
+  /** Writes one line to standard output. */
   writeLine(text: string): void;
-  /** Writes one line about something wrong. */
+  /** Writes one line to standard error. */
   writeError(text: string): void;
   readonly environment: Environment;
   /** Resolves after a number of milliseconds. */
@@ -19,23 +19,22 @@
 export interface CommandFlag {
   readonly name: string;
   readonly help: string;
-  /** Whether the flag stands alone, without a value. */
+  /** Whether the flag has no value. */
   readonly isSwitch: boolean;
 }
 
-/** What a command was called with. */
+/** Parsed arguments of a command. */
 export interface CommandInput {
-  /** Parameters in their order; as many as the command names. */
+  /** Positional parameters; as many as the command declares. */
   readonly parameters: readonly string[];
   readonly flags: FlagValues;
   readonly terminal: CommandTerminal;
 }
 
-/** One command. */
 export interface Command {
-  /** The words that call it, e.g. `intent propose`. */
+  /** The words that select the command, e.g. `intent propose`. */
   readonly words: string;
-  /** Names of its parameters; all are required. */
+  /** Names of the positional parameters; all are required. */
   readonly parameters: readonly string[];
   readonly summary: string;
   readonly flags: readonly CommandFlag[];
@@ -44,23 +43,23 @@
   run(input: CommandInput): Promise<ExitCode>;
 }
 
-/** A flag that takes a value. */
+/** A flag with a value. */
 export function valueFlag(name: string, help: string): CommandFlag {
   return { name, help, isSwitch: false };
 }
 
-/** A flag that stands alone. */
+/** A flag without a value. */
 export function switchFlag(name: string, help: string): CommandFlag {
   return { name, help, isSwitch: true };
 }
 
-/** The value of a flag; `undefined` where it was not given. */
+/** The value of a flag; `undefined` where it is absent. */
 export function flagText(flags: FlagValues, name: string): string | undefined {
   const value = flags[name];
   return value === undefined || value === false ? undefined : String(value);
 }
 
-/** Reports problems of a file or of the command line, one a line. */
+/** Prints problems of a file or of the command line, one on each line. */
 export function reportProblems(
   terminal: CommandTerminal,
   problems: readonly SchemaProblem[],
--- a/src/cli/document-text.ts
+++ b/src/cli/document-text.ts
@@ -1,11 +1,10 @@
-/** Shows a document as indented text; a list of records becomes a table. */
+/** Renders a JSON document as indented text; a list of flat records becomes a table. */
 
 type Fields = Readonly<Record<string, unknown>>;
 
 const INDENT = '  ';
 const COLUMN_GAP = '  ';
 
-/** The lines of a document. */
 export function renderDocument(document: unknown): string[] {
   return renderValue(document, '');
 }
@@ -47,7 +46,7 @@
   return typeof value === 'object' && value !== null && !Array.isArray(value);
 }
 
-/** Values that fit on one line: plain ones, and lists of plain ones. */
+/** Whether a value is a scalar or a list of scalars, which are rendered on one line. */
 function isSimple(value: unknown): boolean {
   if (Array.isArray(value)) return value.every((item) => typeof item !== 'object');
   return typeof value !== 'object' || value === null;
--- a/src/cli/drain-command.ts
+++ b/src/cli/drain-command.ts
@@ -1,17 +1,16 @@
-/** `wardwing drain`: keeps new work from a node, a worker or a zone, or takes that back. */
+/** `wardwing drain`: stops new work on a node, a worker or a zone, or undoes that. */
 import { DRAIN_KINDS } from '../config-feed/configuration.js';
 import { CLIENT_FLAGS, requestAndPrint } from './client-command.js';
 import { type Command, flagText, reportProblems, switchFlag, valueFlag } from './command.js';
 
-/** The command. */
 export const drainCommand: Command = {
   words: 'drain',
   parameters: ['kind', 'name'],
-  summary: 'Give a node, worker or zone no new work; what runs there finishes or moves',
+  summary: 'Send no new work to a node, worker or zone; running work finishes or migrates',
   flags: [
     ...CLIENT_FLAGS,
-    switchFlag('undo', 'Take an earlier drain back'),
-    valueFlag('reason', 'Why, for the history'),
+    switchFlag('undo', 'Undo an earlier drain'),
+    valueFlag('reason', 'Reason, recorded in the history'),
   ],
   examples: [
     'drain worker drafts-3 --reason "fan broken" --endpoint 127.0.0.1:7400',
--- a/src/cli/exit-codes.ts
+++ b/src/cli/exit-codes.ts
@@ -1,16 +1,15 @@
-/** Exit codes of the `wardwing` program; scripts rely on them. */
+/** Exit codes of the `wardwing` program; scripts depend on them. */
 export const EXIT_CODES = {
-  /** Done. */
+  /** Success. */
   ok: 0,
-  /** Refused, or failed for sure: nothing was changed. */
+  /** Refused or failed; nothing was changed. */
   failed: 1,
-  /** The command line, a settings file or an intent file is wrong; nothing was started or sent. */
+  /** The command line, a settings file or an intent file is invalid; nothing was started or sent. */
   badUsage: 2,
   /** The node could not be reached; nothing was changed. */
   unreachable: 3,
-  /** The change may or may not have taken effect, or is not yet seen in force everywhere. */
+  /** The change may have taken effect, or is not yet active in all zones. */
   outcomeUnknown: 4,
 } as const;
 
-/** One exit code. */
 export type ExitCode = (typeof EXIT_CODES)[keyof typeof EXIT_CODES];
--- a/src/cli/explain-command.ts
+++ b/src/cli/explain-command.ts
@@ -1,6 +1,6 @@
 /**
- * `wardwing explain`: shows what was decided for a request, step, worker or group, and why; asks a
- * node, or reads the logs of nodes from a folder.
+ * `wardwing explain`: prints the decisions about a request, step, worker or group with their reasons,
+ * from a node or from log files.
  */
 import { readdirSync, readFileSync, statSync } from 'node:fs';
 import path from 'node:path';
@@ -14,12 +14,14 @@
 import { type Command, type CommandInput, flagText, reportProblems, valueFlag } from './command.js';
 import { EXIT_CODES, type ExitCode } from './exit-codes.js';
 
-/** The command. */
 export const explainCommand: Command = {
   words: 'explain',
   parameters: ['id'],
-  summary: 'Show what was decided for a request, step or worker, and why',
-  flags: [...CLIENT_FLAGS, valueFlag('logs', 'Folder or file with logs of nodes, in place of one')],
+  summary: 'Show the decisions about a request, step or worker, with their reasons',
+  flags: [
+    ...CLIENT_FLAGS,
+    valueFlag('logs', 'Folder or file with logs of nodes, instead of a request to a node'),
+  ],
   examples: ['explain step-17 --endpoint 127.0.0.1:7400', 'explain 9c41d07be2a35f68 --logs logs'],
   async run(input) {
     const logs = flagText(input.flags, 'logs');
@@ -52,7 +54,7 @@
   return EXIT_CODES.ok;
 }
 
-/** All lines of a file, or of the files of a folder; `undefined` where there is none. */
+/** Parsed lines of a file or of the files of a folder; `undefined` where they cannot be read. */
 function readLogs(location: string): LogLine[] | undefined {
   try {
     const files = statSync(location).isDirectory()
--- a/src/cli/in-force-report.ts
+++ b/src/cli/in-force-report.ts
@@ -1,21 +1,20 @@
-/** Watches the status of the fleet until a revision is in force in every zone. */
+/** Polls the status of the fleet until a revision is active in every zone. */
 import { printDocument } from './client-command.js';
 import type { CommandInput } from './command.js';
 import { EXIT_CODES, type ExitCode } from './exit-codes.js';
 import type { OperatorClient } from './operator-client.js';
 
-/** Time between two looks at the status, in milliseconds. */
 const STATUS_POLL_INTERVAL_MS = 500;
 
-/** What the status says of one zone. */
+/** Status of one zone. */
 export interface ZoneStatus {
-  /** Lowest revision in force on a node of the zone that answered; `null` where none did. */
+  /** Lowest active revision of the nodes of the zone that answered; `null` where none did. */
   readonly lowestRevision: number | null;
-  /** Nodes that are thought to be in service. */
+  /** Number of live nodes. */
   readonly nodes: number;
-  /** Nodes that told their revision; all of them where it is left out. */
+  /** Number of nodes that reported their revision. @default nodes */
   readonly answered?: number;
-  /** Whether the zone can show that its configuration is fresh. */
+  /** Whether the configuration of the zone is fresh. */
   readonly fresh: boolean;
 }
 
@@ -24,13 +23,13 @@
   readonly zone: string;
   readonly state: 'in-force' | 'not-seen' | 'cut-off';
   readonly revision: number | null;
-  /** Time from the confirmation until it was seen, in milliseconds. */
+  /** Time from the confirmation to this report, in milliseconds. */
   readonly after_ms: number;
 }
 
 /**
- * Asks for the status again and again, and prints each zone as soon as the revision is in force
- * there. A cut-off zone follows the intent's cut-off rule; it is named at the end.
+ * Polls the status and prints each zone once the revision is active there. After the timeout it
+ * prints the other zones; a partitioned one (`cut-off`) applies the cut-off rule of the intent.
  */
 export async function waitUntilInForce(
   input: CommandInput,
@@ -73,7 +72,7 @@
   });
 }
 
-/** A node that did not tell its revision may be behind, so all nodes of the zone must have. */
+/** All nodes of the zone must report, as the others may have an older revision. */
 function isInForce(status: ZoneStatus, revision: number): boolean {
   const complete = (status.answered ?? status.nodes) >= status.nodes;
   return complete && status.lowestRevision !== null && status.lowestRevision >= revision;
--- a/src/cli/intent-confirm-command.ts
+++ b/src/cli/intent-confirm-command.ts
@@ -1,4 +1,4 @@
-/** `wardwing intent confirm`: puts a plan into force, and with `--wait` watches it get there. */
+/** `wardwing intent confirm`: applies a plan; with `--wait`, until it is active in all zones. */
 import { ACCEPTED_DURATIONS, parseDuration } from '../settings/duration.js';
 import { CLIENT_FLAGS, clientOf, printDocument, reportFailure } from './client-command.js';
 import {
@@ -15,18 +15,14 @@
 
 const DEFAULT_WAIT_TIMEOUT = '30s';
 
-/** The command. */
 export const intentConfirmCommand: Command = {
   words: 'intent confirm',
   parameters: ['plan'],
-  summary: 'Put a plan into force, unless the intent changed since the plan was made',
+  summary: 'Apply a plan, unless the intent changed after the plan was made',
   flags: [
     ...CLIENT_FLAGS,
-    switchFlag('wait', 'Report per zone when the change is in force'),
-    valueFlag(
-      'wait-timeout',
-      `Longest wait for all zones, ${DEFAULT_WAIT_TIMEOUT} where not given`,
-    ),
+    switchFlag('wait', 'Report each zone when the change is active there'),
+    valueFlag('wait-timeout', `Timeout of the wait for all zones, default ${DEFAULT_WAIT_TIMEOUT}`),
   ],
   examples: [
     'intent confirm 3f2a90c41b7d5e68 --endpoint 127.0.0.1:7400',
--- a/src/cli/intent-history-command.ts
+++ b/src/cli/intent-history-command.ts
@@ -1,12 +1,11 @@
-/** `wardwing intent history`: shows the changes operators made. */
+/** `wardwing intent history`: prints the changes by operators. */
 import { CLIENT_FLAGS, requestAndPrint } from './client-command.js';
 import type { Command } from './command.js';
 
-/** The command. */
 export const intentHistoryCommand: Command = {
   words: 'intent history',
   parameters: [],
-  summary: 'Show who changed what, oldest first',
+  summary: 'Show the changes and who made them, oldest first',
   flags: CLIENT_FLAGS,
   examples: ['intent history --endpoint 127.0.0.1:7400 --json'],
   run: (input) =>
--- a/src/cli/intent-propose-command.ts
+++ b/src/cli/intent-propose-command.ts
@@ -1,4 +1,4 @@
-/** `wardwing intent propose`: sends a draft and prints the plan, which changes nothing yet. */
+/** `wardwing intent propose`: sends a draft and prints the plan; changes nothing. */
 import type { Result } from 'true-myth';
 import { intentSchema } from '../intents/intent-schema.js';
 import { parseToml, readText } from '../settings/load-settings.js';
@@ -6,7 +6,6 @@
 import { CLIENT_FLAGS, requestAndPrint } from './client-command.js';
 import { type Command, reportProblems } from './command.js';
 
-/** The command. */
 export const intentProposeCommand: Command = {
   words: 'intent propose',
   parameters: ['file'],
@@ -21,7 +20,7 @@
   },
 };
 
-/** Reads the written form of an intent; the node checks it again, with the fleet's zones. */
+/** Reads and validates an intent file; the node validates it again with the zones of the fleet. */
 function readDraft(
   file: string,
 ): Result<Readonly<Record<string, unknown>>, readonly SchemaProblem[]> {
--- a/src/cli/node-command.ts
+++ b/src/cli/node-command.ts
@@ -1,16 +1,16 @@
-/** `wardwing node`: runs one node until it is stopped. */
+/** `wardwing node`: runs a node until it is stopped. */
 import { SETTINGS_FLAGS } from '../settings/flags.js';
 import { loadSettings } from '../settings/load-settings.js';
 import { type Command, flagText, reportProblems, valueFlag } from './command.js';
 import type { ExitCode } from './exit-codes.js';
 import { loadNodeProgram, type NodeProgram } from './node-program.js';
 
-/** Makes the command; the program is replaced in tests. */
+/** Creates the command; tests replace the program. */
 export function nodeCommand(load: () => Promise<NodeProgram> = loadNodeProgram): Command {
   return {
     words: 'node',
     parameters: [],
-    summary: 'Run one node. SIGTERM stops it once running requests have ended or moved',
+    summary: 'Run one node. SIGTERM stops it after running requests have finished or migrated',
     flags: [
       valueFlag('settings', 'The settings file (required)'),
       ...SETTINGS_FLAGS.map((entry) => valueFlag(entry.flag, entry.help)),
--- a/src/cli/operator-client.ts
+++ b/src/cli/operator-client.ts
@@ -1,25 +1,23 @@
-/** HTTP client of the operators' interface of one node. */
+/** HTTP client of the operator interface of a node. */
 import { type ClientRequest, request as httpRequest, type IncomingMessage } from 'node:http';
 import { Result } from 'true-myth';
 import { FIRST_ERROR_STATUS } from '../core/http-status.js';
 import { MEBIBYTE } from '../core/units.js';
 
-/** Longest wait for an answer, in milliseconds; longer than a node takes to give up. */
+/** Longer than a node takes to answer or fail a request of an operator. */
 const ANSWER_TIMEOUT_MS = 30_000;
 
-/** Longest answer that is read, in bytes. */
 const MAX_ANSWER_BYTES = 64 * MEBIBYTE;
 
-/** Where a node is and who asks. */
+/** Address of the node, and token of the operator. */
 export interface OperatorClientOptions {
   readonly host: string;
   readonly port: number;
   readonly token: string;
-  /** Longest wait for an answer, in milliseconds. @default 30000 */
+  /** Timeout of an answer, in milliseconds. @default 30000 */
   readonly answerTimeout?: number;
 }
 
-/** One request. */
 export interface OperatorRequest {
   readonly method: 'GET' | 'POST';
   readonly path: string;
@@ -27,7 +25,7 @@
   readonly body: unknown;
 }
 
-/** The members of a problem document (RFC 9457) that matter here. */
+/** The used members of a problem document (RFC 9457). */
 export interface Problem {
   readonly kind: string;
   readonly ran: string;
@@ -35,7 +33,7 @@
   readonly detail: string;
 }
 
-/** Why there is no document. */
+/** Why a request failed. */
 export type ClientFailure =
   | {
       readonly kind: 'unreachable';
@@ -45,10 +43,9 @@
     }
   | { readonly kind: 'problem'; readonly problem: Problem };
 
-/** The node's answer. */
+/** The answer of the node: a JSON object, or the failure. */
 export type ClientAnswer = Result<Readonly<Record<string, unknown>>, ClientFailure>;
 
-/** Asks one node. */
 export class OperatorClient {
   readonly #options: OperatorClientOptions;
 
@@ -56,7 +53,7 @@
     this.#options = options;
   }
 
-  /** Sends a request; never rejects. */
+  /** Sends a request; the promise never rejects. */
   send(request: OperatorRequest): Promise<ClientAnswer> {
     return new Promise((resolve) => {
       let connected = false;
@@ -70,7 +67,7 @@
         });
       });
       outgoing.on('error', (error) => fail(error.message));
-      outgoing.on('timeout', () => outgoing.destroy(new Error('no answer in time')));
+      outgoing.on('timeout', () => outgoing.destroy(new Error('no answer within the timeout')));
       outgoing.on('response', (incoming) => {
         readText(incoming).then(
           (text) => resolve(answerOf(incoming.statusCode ?? 0, text)),
@@ -105,7 +102,7 @@
   for await (const chunk of incoming) {
     const bytes = chunk as Buffer;
     size += bytes.length;
-    if (size > MAX_ANSWER_BYTES) throw new Error('the answer is too long');
+    if (size > MAX_ANSWER_BYTES) throw new Error('answer exceeds the limit of 64 MiB');
     chunks.push(bytes);
   }
   return Buffer.concat(chunks).toString('utf8');
--- a/src/cli/program.ts
+++ b/src/cli/program.ts
@@ -1,4 +1,4 @@
-/** The `wardwing` program: finds the command, checks how it was called, and runs it. */
+/** The `wardwing` program: selects the command, validates its arguments, and runs it. */
 import sade from 'sade';
 import type { FlagValues } from '../settings/flags.js';
 import type { SchemaProblem } from '../settings/schema-problems.js';
@@ -15,7 +15,6 @@
 import { publishCommand } from './publish-command.js';
 import { statusCommand } from './status-command.js';
 
-/** All commands. */
 export const COMMANDS: readonly Command[] = [
   nodeCommand(),
   checkCommand,
@@ -32,10 +31,10 @@
 const PROGRAM_NAME = 'wardwing';
 const PROGRAM_VERSION = '0.1.0';
 
-/** Flags that the command-line library answers by itself. */
+/** Flags that the command-line library handles. */
 const INFORMATION_FLAGS = ['-h', '--help', '-v', '--version'];
 
-/** Runs the program with its arguments (without interpreter and script); gives the exit code. */
+/** Runs the program with its arguments (without interpreter and script); resolves to the exit code. */
 export async function runProgram(
   words: readonly string[],
   terminal: CommandTerminal,
@@ -48,14 +47,14 @@
     return reportProblems(terminal, [{ key: PROGRAM_NAME, reason, accepted }]);
   }
   const parsed = parseWords(words, command, commands);
-  // Without a result the library has printed help or the version.
+  // Without a result, the library has printed the help or the version.
   if (parsed === undefined || command === undefined) return EXIT_CODES.ok;
   const problems = usageProblems(command, parsed);
   if (problems.length > 0) return reportProblems(terminal, problems);
   return command.run({ ...parsed, terminal });
 }
 
-/** The command whose words the arguments start with. */
+/** The command whose words are the first arguments. */
 function findCommand(words: readonly string[], commands: readonly Command[]): Command | undefined {
   return commands.find((command) => {
     const commandWords = command.words.split(' ');
@@ -63,7 +62,7 @@
   });
 }
 
-/** What the library made of the arguments. */
+/** Arguments as parsed by the library. */
 interface ParsedWords {
   readonly parameters: readonly string[];
   readonly flags: FlagValues;
@@ -81,14 +80,14 @@
     string: flags.filter((flag) => !flag.isSwitch).map((flag) => flag.name),
   }) as sade.LazyOutput | undefined;
   if (found === undefined) return undefined;
-  // The library hands over the declared parameters, then an object of flags and further words.
+  // The library returns the declared parameters, then an object with flags and extra arguments.
   const received = found.args as readonly unknown[];
   const { _: extra, ...values } = received.at(-1) as { readonly _: readonly string[] };
   const declared = received.slice(0, -1).filter((parameter) => parameter !== undefined);
   return { parameters: [...declared.map(String), ...extra], flags: values };
 }
 
-/** Parameters are optional for the library, which would otherwise end the process itself. */
+/** Declares parameters as optional, as the library exits the process on a missing required one. */
 function buildProgram(commands: readonly Command[]): sade.Sade {
   const program = sade(PROGRAM_NAME).version(PROGRAM_VERSION);
   for (const command of commands) {
@@ -121,8 +120,9 @@
       const accepted = command.flags.map((flag) => `--${flag.name}`).join(', ');
       return [{ key, reason: 'this flag is not known', accepted }];
     }
-    if (Array.isArray(value)) return [{ key, reason: 'it is given twice', accepted: 'it once' }];
+    if (Array.isArray(value))
+      return [{ key, reason: 'the flag is given more than once', accepted: 'one value' }];
     if (known.isSwitch || value === undefined || value !== '') return [];
-    return [{ key, reason: 'its value is missing', accepted: known.help }];
+    return [{ key, reason: 'the value of the flag is missing', accepted: known.help }];
   });
 }
--- a/src/cli/publish-command.ts
+++ b/src/cli/publish-command.ts
@@ -1,13 +1,12 @@
-/** `wardwing publish`: announces a weight version that lies ready in the weight store. */
+/** `wardwing publish`: announces a weight version that is available in the weight store. */
 import type { SchemaProblem } from '../settings/schema-problems.js';
 import { CLIENT_FLAGS, requestAndPrint } from './client-command.js';
 import { type Command, reportProblems } from './command.js';
 
-/** The command. */
 export const publishCommand: Command = {
   words: 'publish',
   parameters: ['model', 'version', 'digest', 'bytes'],
-  summary: 'Announce a weight version of a model; versions only rise, repeating one is harmless',
+  summary: 'Announce a weight version of a model; versions must increase, repeats have no effect',
   flags: CLIENT_FLAGS,
   examples: ['publish drafts 7 sha256-9f86d081 1048576 --endpoint 127.0.0.1:7400'],
   async run(input) {
@@ -22,5 +21,7 @@
 
 function numberProblems(key: string, text: string): SchemaProblem[] {
   if (/^[1-9]\d{0,14}$/.test(text)) return [];
-  return [{ key, reason: `"${text}" is not such a number`, accepted: 'a whole number above 0' }];
+  return [
+    { key, reason: `"${text}" is not a positive integer`, accepted: 'a whole number above 0' },
+  ];
 }
--- a/test/cli/program.test.ts
+++ b/test/cli/program.test.ts
@@ -51,7 +51,7 @@
   readonly body: unknown;
 }
 
-/** A stand-in for a node's HTTP interface; `null` breaks the connection off. */
+/** A fake HTTP interface of a node; the answer `null` closes the connection. */
 async function startServer(answer: (received: Received) => [number, unknown] | null) {
   const received: Received[] = [];
   const server: Server = createServer(async (request, response) => {
@@ -74,7 +74,7 @@
   return text === '' ? null : JSON.parse(text);
 }
 
-t.test('check: exit code 0 for a good file, 2 for a wrong one', async (t) => {
+t.test('check: exit code 0 for a valid file, 2 for an invalid one', async (t) => {
   t.match(await run(['check', inFolder('node.toml')]), {
     code: 0,
     lines: [/valid, node abdali-1/],
@@ -90,7 +90,7 @@
   t.equal((await run(['check', inFolder('node.toml'), '--zone', 'nowhere'])).code, 2);
 });
 
-t.test('bad usage is exit code 2 and says what is accepted', async (t) => {
+t.test('invalid usage gives exit code 2 and names what is accepted', async (t) => {
   const calls: [string, RegExp][] = [
     ['', /names no command; accepted: node, check/],
     ['intent destroy', /names no command/],
@@ -113,7 +113,7 @@
   }
 });
 
-t.test('node starts with the settings, flags over the file', async (t) => {
+t.test('node starts with the settings, and flags override the file', async (t) => {
   let started: Settings | undefined;
   const program = {
     startNode: async (settings: Settings) => {
@@ -157,7 +157,7 @@
   ]);
 });
 
-t.test('exit codes tell refused, unreachable and unknown apart', async (t) => {
+t.test('refused, unreachable and unknown outcomes have different exit codes', async (t) => {
   const problem = { kind: 'plan_stale', ran: 'no', retry_after_ms: null, detail: 'by "basil"' };
   const stale = await startServer(() => [409, problem]);
   const refused = await run(['intent', 'confirm', 'p', '--endpoint', stale.endpoint]);
@@ -173,40 +173,43 @@
   t.equal((await run(['drain', 'node', 'n', '--endpoint', '127.0.0.1:1'])).code, 3);
 });
 
-t.test('confirm --wait reports each zone when it is in force, and a cut-off one', async (t) => {
-  let statusRequests = 0;
-  const silent = { lowestRevision: null, nodes: 2, answered: 0, fresh: false };
-  const zone = (lowestRevision: number) => ({ lowestRevision, nodes: 2, fresh: true });
-  const server = await startServer(({ line }) => {
-    if (line.startsWith('POST')) return [202, { revision: 20 }];
-    statusRequests += 1;
-    // The first status lacks the answer of one node, whose revision may be lower.
-    const abdali =
-      statusRequests >= 2 ? zone(20) : { ...zone(statusRequests === 1 ? 20 : 19), answered: 1 };
-    return [200, { zones: { abdali, marka: statusRequests >= 3 ? zone(21) : silent } }];
-  });
-  const words = ['intent', 'confirm', 'p', '--wait', '--json', '--endpoint', server.endpoint];
-  const result = await run(words);
-  t.equal(result.code, 0);
-  t.match(
-    result.lines.slice(1).map((line) => JSON.parse(line)),
-    [
-      { zone: 'abdali', state: 'in-force', revision: 20, after_ms: 500 },
-      { zone: 'marka', state: 'in-force', revision: 21, after_ms: 1_000 },
-    ],
-  );
-  statusRequests = Number.NEGATIVE_INFINITY;
-  const late = await run([...words, '--wait-timeout', '2s']);
-  t.equal(late.code, 4, 'not seen in force');
-  t.match(
-    late.lines.slice(1).map((line) => JSON.parse(line)),
-    [
-      { zone: 'abdali', state: 'not-seen' },
-      { zone: 'marka', state: 'cut-off' },
-    ],
-  );
-  t.equal(late.paused, 2_000);
-});
+t.test(
+  'confirm --wait reports each zone when the plan is active, and partitioned ones',
+  async (t) => {
+    let statusRequests = 0;
+    const silent = { lowestRevision: null, nodes: 2, answered: 0, fresh: false };
+    const zone = (lowestRevision: number) => ({ lowestRevision, nodes: 2, fresh: true });
+    const server = await startServer(({ line }) => {
+      if (line.startsWith('POST')) return [202, { revision: 20 }];
+      statusRequests += 1;
+      // The first status lacks the answer of one node, whose revision may be lower.
+      const abdali =
+        statusRequests >= 2 ? zone(20) : { ...zone(statusRequests === 1 ? 20 : 19), answered: 1 };
+      return [200, { zones: { abdali, marka: statusRequests >= 3 ? zone(21) : silent } }];
+    });
+    const words = ['intent', 'confirm', 'p', '--wait', '--json', '--endpoint', server.endpoint];
+    const result = await run(words);
+    t.equal(result.code, 0);
+    t.match(
+      result.lines.slice(1).map((line) => JSON.parse(line)),
+      [
+        { zone: 'abdali', state: 'in-force', revision: 20, after_ms: 500 },
+        { zone: 'marka', state: 'in-force', revision: 21, after_ms: 1_000 },
+      ],
+    );
+    statusRequests = Number.NEGATIVE_INFINITY;
+    const late = await run([...words, '--wait-timeout', '2s']);
+    t.equal(late.code, 4, 'not active in all zones');
+    t.match(
+      late.lines.slice(1).map((line) => JSON.parse(line)),
+      [
+        { zone: 'abdali', state: 'not-seen' },
+        { zone: 'marka', state: 'cut-off' },
+      ],
+    );
+    t.equal(late.paused, 2_000);
+  },
+);
 
 t.test('explain reads the logs of nodes from a folder', async (t) => {
   const time = '2026-01-01T00:00:00.000Z';
