--- a/src/cli/client-command.ts
+++ b/src/cli/client-command.ts
@@ -81,8 +81,8 @@
     return `The node did not answer (${failure.detail}); ${effect}.`;
   }
   const { kind, ran, detail, retry_after_ms: retryAfter } = failure.problem;
-  const again = retryAfter === null ? '' : `, try again in ${retryAfter} ms`;
-  return `${kind}: ${detail} (ran: ${ran}${again})`;
+  const retryHint = retryAfter === null ? '' : `, try again in ${retryAfter} ms`;
+  return `${kind}: ${detail} (ran: ${ran}${retryHint})`;
 }
 
 function endpointOf(
--- a/src/cli/explain-command.ts
+++ b/src/cli/explain-command.ts
@@ -32,12 +32,15 @@
   },
 };
 
-function explainFromLogs({ parameters, flags, terminal }: CommandInput, logs: string): ExitCode {
-  const lines = readLogs(logs);
+function explainFromLogs(
+  { parameters, flags, terminal }: CommandInput,
+  location: string,
+): ExitCode {
+  const lines = readLogs(location);
   if (lines === undefined) {
     const problem = {
       key: '--logs',
-      reason: `"${logs}" cannot be read`,
+      reason: `"${location}" cannot be read`,
       accepted: 'a folder of logs',
     };
     return reportProblems(terminal, [problem]);
--- a/src/cli/in-force-report.ts
+++ b/src/cli/in-force-report.ts
@@ -39,15 +39,15 @@
 ): Promise<ExitCode> {
   const reported = new Set<string>();
   let zones: Readonly<Record<string, ZoneStatus>> = {};
-  for (let waited = 0; ; waited += STATUS_POLL_INTERVAL_MS) {
+  for (let elapsed = 0; ; elapsed += STATUS_POLL_INTERVAL_MS) {
     const answer = await client.send({ method: 'GET', path: '/v1/status', body: null });
     if (answer.isOk) zones = zonesOf(answer.value);
-    for (const report of newReports(zones, revision, waited, reported)) {
+    for (const report of newReports(zones, revision, elapsed, reported)) {
       printDocument(input, report);
     }
     const complete = Object.keys(zones).length > 0 && reported.size === Object.keys(zones).length;
     if (complete) return EXIT_CODES.ok;
-    if (waited >= timeout) return reportUnfinished(input, zones, reported, waited);
+    if (elapsed >= timeout) return reportUnfinished(input, zones, reported, elapsed);
     await input.terminal.pause(STATUS_POLL_INTERVAL_MS);
   }
 }
@@ -60,15 +60,15 @@
 function newReports(
   zones: Readonly<Record<string, ZoneStatus>>,
   revision: number,
-  waited: number,
+  elapsed: number,
   reported: Set<string>,
 ): ZoneReport[] {
-  const reached = Object.entries(zones).filter(
+  const activeZones = Object.entries(zones).filter(
     ([zone, status]) => !reported.has(zone) && isInForce(status, revision),
   );
-  return reached.map(([zone, status]) => {
+  return activeZones.map(([zone, status]) => {
     reported.add(zone);
-    return { zone, state: 'in-force', revision: status.lowestRevision, after_ms: waited };
+    return { zone, state: 'in-force', revision: status.lowestRevision, after_ms: elapsed };
   });
 }
 
@@ -82,7 +82,7 @@
   input: CommandInput,
   zones: Readonly<Record<string, ZoneStatus>>,
   reported: ReadonlySet<string>,
-  waited: number,
+  elapsed: number,
 ): ExitCode {
   for (const [zone, status] of Object.entries(zones)) {
     if (reported.has(zone)) continue;
@@ -91,7 +91,7 @@
       zone,
       state,
       revision: status.lowestRevision,
-      after_ms: waited,
+      after_ms: elapsed,
     };
     printDocument(input, report);
   }
--- a/src/cli/program.ts
+++ b/src/cli/program.ts
@@ -114,15 +114,15 @@
 
 function flagProblems(command: Command, flags: FlagValues): SchemaProblem[] {
   return Object.entries(flags).flatMap(([name, value]) => {
-    const known = command.flags.find((flag) => flag.name === name);
+    const flag = command.flags.find((candidate) => candidate.name === name);
     const key = `--${name}`;
-    if (known === undefined) {
+    if (flag === undefined) {
       const accepted = command.flags.map((flag) => `--${flag.name}`).join(', ');
       return [{ key, reason: 'this flag is not known', accepted }];
     }
     if (Array.isArray(value))
       return [{ key, reason: 'the flag is given more than once', accepted: 'one value' }];
-    if (known.isSwitch || value === undefined || value !== '') return [];
-    return [{ key, reason: 'the value of the flag is missing', accepted: known.help }];
+    if (flag.isSwitch || value === undefined || value !== '') return [];
+    return [{ key, reason: 'the value of the flag is missing', accepted: flag.help }];
   });
 }
--- a/src/routing/followed-workers.ts
+++ b/src/routing/followed-workers.ts
@@ -68,9 +68,9 @@
     for (const entry of this.#entries()) {
       if (entry.home.node === self.node) continue;
       const key = identityKey(entry.home);
-      const known = homes.get(key) ?? { home: entry.home, workers: [] };
-      homes.set(key, known);
-      known.workers.push(entry.record.worker);
+      const group = homes.get(key) ?? { home: entry.home, workers: [] };
+      homes.set(key, group);
+      group.workers.push(entry.record.worker);
     }
     return homes;
   }
--- a/src/routing/hash-ring.ts
+++ b/src/routing/hash-ring.ts
@@ -28,12 +28,12 @@
 
   /** Index of the first point at or after the key's hash; wraps round to 0. */
   pointOf(key: string): number {
-    const target = placementHash(key);
+    const hash = placementHash(key);
     let low = 0;
     let high = this.size;
     while (low < high) {
       const middle = (low + high) >>> 1;
-      if ((this.#positions[middle] ?? 0) < target) low = middle + 1;
+      if ((this.#positions[middle] ?? 0) < hash) low = middle + 1;
       else high = middle;
     }
     return low === this.size ? 0 : low;
--- a/src/routing/home-admission.ts
+++ b/src/routing/home-admission.ts
@@ -116,8 +116,8 @@
   }
 
   #slotsOf(worker: WorkerRecord): WorkerSlots {
-    const known = this.#slotsByWorker.get(worker.worker);
-    if (known !== undefined) return known;
+    const existing = this.#slotsByWorker.get(worker.worker);
+    if (existing !== undefined) return existing;
     const slots = this.#createSlots(worker);
     this.#slotsByWorker.set(worker.worker, slots);
     return slots;
--- a/src/routing/home-workers.ts
+++ b/src/routing/home-workers.ts
@@ -48,8 +48,8 @@
     const names = new Set(records.map((record) => record.worker));
     for (const name of this.#workers.keys()) if (!names.has(name)) this.#workers.delete(name);
     for (const record of records) {
-      const known = this.#workers.get(record.worker);
-      if (known !== undefined) known.record = record;
+      const existing = this.#workers.get(record.worker);
+      if (existing !== undefined) existing.record = record;
       else this.#add(record, now);
     }
   }
@@ -122,10 +122,10 @@
   if (before.leaving !== after.leaving || before.health !== after.health) return true;
   if ((before.queueFree === 0) !== (after.queueFree === 0)) return true;
   if (before.loadedVersions.join() !== after.loadedVersions.join()) return true;
-  const step = Math.max(1, Math.floor(slots * PUBLISH_THRESHOLD_SHARE));
+  const threshold = Math.max(1, Math.floor(slots * PUBLISH_THRESHOLD_SHARE));
   return (
-    Math.abs(before.outstanding - after.outstanding) >= step ||
-    Math.abs(before.interactiveOutstanding - after.interactiveOutstanding) >= step ||
-    Math.abs(before.reportedLoad - after.reportedLoad) >= step
+    Math.abs(before.outstanding - after.outstanding) >= threshold ||
+    Math.abs(before.interactiveOutstanding - after.interactiveOutstanding) >= threshold ||
+    Math.abs(before.reportedLoad - after.reportedLoad) >= threshold
   );
 }
--- a/src/routing/length-predictor.ts
+++ b/src/routing/length-predictor.ts
@@ -55,8 +55,8 @@
     const group = this.#groups.get(groupKeyOf(request));
     if (group === undefined) return Math.min(request.maxTokens, prior);
     const weight = group.observations + PRIOR_WEIGHT;
-    const blended = (group.tokens * group.observations + prior * PRIOR_WEIGHT) / weight;
-    return Math.min(request.maxTokens, blended);
+    const weightedAverage = (group.tokens * group.observations + prior * PRIOR_WEIGHT) / weight;
+    return Math.min(request.maxTokens, weightedAverage);
   }
 
   /** Sorts samples by predicted length, longest first; the sort is stable. */
--- a/src/routing/load-publisher.ts
+++ b/src/routing/load-publisher.ts
@@ -57,11 +57,11 @@
       this.#remove(key);
       return undefined;
     }
-    const known = this.#subscribers.get(key);
-    const subscriber = known ?? this.#add(key, from);
+    const existing = this.#subscribers.get(key);
+    const subscriber = existing ?? this.#add(key, from);
     subscriber.expiresAt = now + this.#options.subscriptionTimeout;
     const sameWorkers = this.#replaceWorkers(subscriber, workers);
-    const upToDate = known !== undefined && sameWorkers && subscriber.sequence === lastSequence;
+    const upToDate = existing !== undefined && sameWorkers && subscriber.sequence === lastSequence;
     if (upToDate) return this.#push(subscriber, [], false, now);
     subscriber.changed.clear();
     subscriber.sequence = Math.max(subscriber.sequence, lastSequence);
--- a/src/routing/load-subscriptions.ts
+++ b/src/routing/load-subscriptions.ts
@@ -46,12 +46,12 @@
       });
     }
     for (const [key, { home, workers }] of required) {
-      const known = this.#subscriptions.get(key);
-      if (known === undefined) {
+      const existing = this.#subscriptions.get(key);
+      if (existing === undefined) {
         this.#subscriptions.set(key, { home, workers, lastSequence: 0, renewAt: now });
-      } else if (!isSameList(known.workers, workers)) {
-        known.workers = workers;
-        known.renewAt = now;
+      } else if (!isSameList(existing.workers, workers)) {
+        existing.workers = workers;
+        existing.renewAt = now;
       }
     }
     return cancellations;
@@ -96,8 +96,9 @@
       if (subscription.renewAt > now) continue;
       const { home, workers, lastSequence } = subscription;
       renewals.push({ to: home, message: { kind: 'subscribe', workers, lastSequence } });
-      const spread = MIN_RENEWAL_SHARE + (1 - MIN_RENEWAL_SHARE) * this.#options.random.fraction();
-      subscription.renewAt = now + this.#options.renewInterval * spread;
+      const jitteredShare =
+        MIN_RENEWAL_SHARE + (1 - MIN_RENEWAL_SHARE) * this.#options.random.fraction();
+      subscription.renewAt = now + this.#options.renewInterval * jitteredShare;
     }
     return renewals;
   }
--- a/src/routing/machine-index.ts
+++ b/src/routing/machine-index.ts
@@ -72,8 +72,8 @@
 
 /** The index of a list, cached by the array object. */
 export function machineIndexOf(machines: readonly MachineRecord[]): MachineIndex {
-  const known = indexes.get(machines);
-  if (known !== undefined) return known;
+  const cached = indexes.get(machines);
+  if (cached !== undefined) return cached;
   const index = new MachineIndex(machines);
   indexes.set(machines, index);
   return index;
--- a/src/routing/outlier-detector.ts
+++ b/src/routing/outlier-detector.ts
@@ -95,9 +95,9 @@
 
   /** Sets the end of the ejection and resets the failure statistics. */
   eject(history: OutcomeHistory, now: Milliseconds): void {
-    const grown = this.#baseEjection * 2 ** history.ejections;
-    const length = Math.min(this.#maximumEjection, grown);
-    history.ejectedUntil = now + Math.round(jittered(this.#random, length, JITTER));
+    const uncapped = this.#baseEjection * 2 ** history.ejections;
+    const duration = Math.min(this.#maximumEjection, uncapped);
+    history.ejectedUntil = now + Math.round(jittered(this.#random, duration, JITTER));
     history.ejections += 1;
     history.consecutiveFailures = 0;
     history.failureShare = 0;
@@ -106,8 +106,8 @@
 
   #isOutlier(history: OutcomeHistory): boolean {
     if (history.consecutiveFailures >= this.#consecutiveFailures) return true;
-    const enough = history.observations >= MIN_OBSERVATIONS;
-    return enough && history.failureShare >= this.#failureShare;
+    const hasEnoughObservations = history.observations >= MIN_OBSERVATIONS;
+    return hasEnoughObservations && history.failureShare >= this.#failureShare;
   }
 
   #decayEjections(history: OutcomeHistory, now: Milliseconds): void {
--- a/src/routing/retry-budget.ts
+++ b/src/routing/retry-budget.ts
@@ -19,7 +19,7 @@
   readonly #minimumPerSecond: number;
   readonly #maximumBalance: number;
   #balance: number;
-  #filledAt: Milliseconds;
+  #refilledAt: Milliseconds;
 
   /** @param now start of the refill; the initial balance is the minimum of one second */
   constructor(options: RetryBudgetOptions, now: Milliseconds) {
@@ -27,31 +27,31 @@
     this.#minimumPerSecond = options.minimumPerSecond ?? 1;
     this.#maximumBalance = options.maximumBalance ?? 20;
     this.#balance = Math.min(this.#minimumPerSecond, this.#maximumBalance);
-    this.#filledAt = now;
+    this.#refilledAt = now;
   }
 
   /** Number of retries available now. */
   balance(now: Milliseconds): number {
-    this.#fill(now);
+    this.#refill(now);
     return Math.floor(this.#balance);
   }
 
   recordFirstAttempt(now: Milliseconds): void {
-    this.#fill(now);
+    this.#refill(now);
     this.#add(this.#share);
   }
 
   /** Takes one retry from the budget; false where the caller must not retry. */
   tryRetry(now: Milliseconds): boolean {
-    this.#fill(now);
+    this.#refill(now);
     if (this.#balance < 1) return false;
     this.#balance -= 1;
     return true;
   }
 
-  #fill(now: Milliseconds): void {
-    const elapsed = Math.max(0, now - this.#filledAt);
-    this.#filledAt = now;
+  #refill(now: Milliseconds): void {
+    const elapsed = Math.max(0, now - this.#refilledAt);
+    this.#refilledAt = now;
     this.#add((elapsed * this.#minimumPerSecond) / 1_000);
   }
 
--- a/src/routing/router.ts
+++ b/src/routing/router.ts
@@ -98,8 +98,8 @@
       now: context.now,
     });
     if (pick === undefined) return this.#overloaded();
-    const isInside = isAllowed(pick.candidate, request.model, context.zones);
-    if (!isInside) return this.#noWorker(counts);
+    const isPickAllowed = isAllowed(pick.candidate, request.model, context.zones);
+    if (!isPickAllowed) return this.#noWorker(counts);
     return { kind: 'worker', candidate: pick.candidate, reason: pick.reason };
   }
 
@@ -139,9 +139,9 @@
   }
 
   #noWorker(counts: FilterCounts): RoutingDecision {
-    const wait = counts.connecting > 0 ? CONNECTING_RETRY_DELAY : NO_WORKER_RETRY_DELAY;
+    const retryDelay = counts.connecting > 0 ? CONNECTING_RETRY_DELAY : NO_WORKER_RETRY_DELAY;
     const detail = `${counts.allowed} workers known in the allowed zones, none in service`;
-    return this.#refusal('no_worker', detail, wait);
+    return this.#refusal('no_worker', detail, retryDelay);
   }
 
   #versionUnknown(): RoutingDecision {
@@ -154,13 +154,13 @@
     return this.#refusal('overloaded', detail, OVERLOADED_RETRY_DELAY);
   }
 
-  /** @param wait average retry delay */
+  /** @param retryDelay average retry delay */
   #refusal(
     kind: 'no_worker' | 'version_unknown' | 'overloaded',
     detail: string,
-    wait: Milliseconds,
+    retryDelay: Milliseconds,
   ): RoutingDecision {
-    const retryAfter = Math.round(jittered(this.#random, wait, RETRY_AFTER_JITTER));
+    const retryAfter = Math.round(jittered(this.#random, retryDelay, RETRY_AFTER_JITTER));
     return { kind: 'refused', failure: failure(kind, detail, { retryAfter, ran: 'no' }) };
   }
 }
--- a/src/routing/worker-directory.ts
+++ b/src/routing/worker-directory.ts
@@ -218,10 +218,10 @@
 
   /** Recomputes subsets, homes and subscriptions. */
   #rebuild(now: Milliseconds): readonly WorkerDirectoryEffect[] {
-    const own = this.#topology.ownWorkers();
-    this.#homeLoads.replace(own, now);
+    const ownWorkers = this.#topology.ownWorkers();
+    this.#homeLoads.replace(ownWorkers, now);
     const retained = new Set<WorkerId>();
-    this.#entries.upsertAll(own, retained, now);
+    this.#entries.upsertAll(ownWorkers, retained, now);
     this.#followed = new FollowedWorkers();
     for (const { model, zone, records } of this.#topology.subsets()) {
       this.#followed.set(model, zone, this.#entries.upsertAll(records, retained, now));
@@ -236,8 +236,8 @@
   #applyLoad(from: NodeIdentity, load: WorkerLoad, now: Milliseconds): void {
     const entry = this.#entries.get(load.worker);
     if (entry === undefined || !sameIdentity(entry.home, from)) return;
-    const ejects = load.health === 'failing' && entry.health !== 'failing';
-    const health = ejects && !this.#canEject(entry) ? 'healthy' : load.health;
+    const isEjection = load.health === 'failing' && entry.health !== 'failing';
+    const health = isEjection && !this.#canEject(entry) ? 'healthy' : load.health;
     entry.applyLoad({ ...load, health }, now);
     this.#entries.refresh(entry, now);
   }
--- a/src/routing/worker-slots.ts
+++ b/src/routing/worker-slots.ts
@@ -168,9 +168,9 @@
     let lowest = Number.POSITIVE_INFINITY;
     for (const dispatch of this.#queued.values()) {
       const running = this.#running.trainingOf(dispatch.account);
-      const level = running / this.#weightOf(dispatch.account);
-      if (level >= lowest) continue;
-      lowest = level;
+      const runningPerWeight = running / this.#weightOf(dispatch.account);
+      if (runningPerWeight >= lowest) continue;
+      lowest = runningPerWeight;
       fairest = dispatch;
     }
     return fairest;
--- a/src/routing/worker-topology.ts
+++ b/src/routing/worker-topology.ts
@@ -132,8 +132,8 @@
   }
 
   #homesOf(zone: ZoneName): ZoneHomes {
-    const known = this.#homes.get(zone);
-    if (known !== undefined) return known;
+    const existing = this.#homes.get(zone);
+    if (existing !== undefined) return existing;
     const homes = new ZoneHomes();
     this.#homes.set(zone, homes);
     return homes;
--- a/src/routing/zone-homes.ts
+++ b/src/routing/zone-homes.ts
@@ -59,10 +59,10 @@
     const added: ScoredNode[] = [];
     let restarted = false;
     for (const record of newest.values()) {
-      const known = this.#nodes.get(record.node);
-      if (known === undefined) added.push(this.#add(record));
-      else if (known.record.incarnation !== record.incarnation) restarted = true;
-      if (known !== undefined) known.record = record;
+      const existing = this.#nodes.get(record.node);
+      if (existing === undefined) added.push(this.#add(record));
+      else if (existing.record.incarnation !== record.incarnation) restarted = true;
+      if (existing !== undefined) existing.record = record;
     }
     if (removed.size > 0 || added.length > 0) this.#reassign(removed, added);
     return restarted || removed.size > 0 || added.length > 0;
@@ -70,8 +70,8 @@
 
   /** The home of a worker; `undefined` where the zone has no live node. */
   homeOf(worker: WorkerId): NodeRecord | undefined {
-    const known = this.#homes.get(worker);
-    if (known !== undefined) return known.node.record;
+    const cached = this.#homes.get(worker);
+    if (cached !== undefined) return cached.node.record;
     const home = this.#findHome(placementHash(worker));
     if (home === undefined) return undefined;
     this.#homes.set(worker, home);
@@ -131,8 +131,8 @@
 function newestIncarnations(nodes: readonly NodeRecord[]): ReadonlyMap<NodeId, NodeRecord> {
   const newest = new Map<NodeId, NodeRecord>();
   for (const record of nodes) {
-    const known = newest.get(record.node);
-    if (known === undefined || known.incarnation < record.incarnation) {
+    const current = newest.get(record.node);
+    if (current === undefined || current.incarnation < record.incarnation) {
       newest.set(record.node, record);
     }
   }
--- a/src/settings/duration.ts
+++ b/src/settings/duration.ts
@@ -26,7 +26,7 @@
 /** Formats a duration with the largest unit that gives an integer; inverse of {@link parseDuration}. */
 export function formatDuration(duration: Milliseconds): string {
   const units = Object.entries(UNIT_MILLISECONDS).reverse();
-  const fitting = units.find(([, factor]) => duration > 0 && duration % factor === 0);
-  const [unit, factor] = fitting ?? ['ms', 1];
+  const largestUnit = units.find(([, factor]) => duration > 0 && duration % factor === 0);
+  const [unit, factor] = largestUnit ?? ['ms', 1];
   return `${duration / factor}${unit}`;
 }
--- a/src/settings/schema-problems.ts
+++ b/src/settings/schema-problems.ts
@@ -63,7 +63,7 @@
   issue: z.core.$ZodIssue,
 ): SchemaProblem[] {
   if (issue.code === 'unrecognized_keys') {
-    const accepted = `the keys ${knownKeysAt(schema, issue.path).join(', ')}`;
+    const accepted = `the keys ${acceptedKeysAt(schema, issue.path).join(', ')}`;
     return issue.keys.map((key) => ({
       key: pathText([...issue.path, key]),
       reason: 'this key is not known',
@@ -82,27 +82,27 @@
 
 function acceptedAt(schema: z.ZodType, issue: z.core.$ZodIssue): string {
   if (issue.code === 'invalid_value') return issue.values.map(String).join(', ');
-  const described = descriptionOf(schemasAlong(schema, issue.path).at(-1));
-  if (described !== undefined) return described;
+  const description = descriptionOf(schemasAlong(schema, issue.path).at(-1));
+  if (description !== undefined) return description;
   if (issue.code === 'invalid_type') return `a value of type ${issue.expected}`;
   return 'see the reason';
 }
 
-function knownKeysAt(schema: z.ZodType, path: readonly PropertyKey[]): string[] {
-  const found = unwrap(schemasAlong(schema, path).at(-1));
-  return found instanceof z.ZodObject ? Object.keys(found.shape) : [];
+function acceptedKeysAt(schema: z.ZodType, path: readonly PropertyKey[]): string[] {
+  const objectSchema = unwrap(schemasAlong(schema, path).at(-1));
+  return objectSchema instanceof z.ZodObject ? Object.keys(objectSchema.shape) : [];
 }
 
 /** The schemas along a path, outermost first, as far as the schema covers the path. */
 function schemasAlong(schema: z.ZodType, path: readonly PropertyKey[]): z.ZodType[] {
   const visited = [schema];
   for (const segment of path) {
-    const current = unwrap(visited.at(-1));
+    const parent = unwrap(visited.at(-1));
     const next =
-      current instanceof z.ZodObject
-        ? (current.shape[String(segment)] as z.ZodType | undefined)
-        : current instanceof z.ZodArray
-          ? (current.element as z.ZodType)
+      parent instanceof z.ZodObject
+        ? (parent.shape[String(segment)] as z.ZodType | undefined)
+        : parent instanceof z.ZodArray
+          ? (parent.element as z.ZodType)
           : undefined;
     if (next === undefined) break;
     visited.push(next);
--- a/src/settings/settings-schema.ts
+++ b/src/settings/settings-schema.ts
@@ -120,13 +120,13 @@
     reason: `the zone "${name}" is named twice`,
     accepted: 'each zone once',
   }));
-  const own = fleet.zones.find((zone) => zone.name === node.zone);
-  if (own === undefined) {
+  const ownZone = fleet.zones.find((zone) => zone.name === node.zone);
+  if (ownZone === undefined) {
     const reason = `"${node.zone}" is not a zone of the fleet`;
     problems.push({ key: 'node.zone', reason, accepted: names.join(', ') });
-  } else if (own.region !== node.region) {
-    const reason = `the zone "${own.name}" is in another region`;
-    problems.push({ key: 'node.region', reason, accepted: own.region });
+  } else if (ownZone.region !== node.region) {
+    const reason = `the zone "${ownZone.name}" is in another region`;
+    problems.push({ key: 'node.region', reason, accepted: ownZone.region });
   }
   return problems;
 }
--- a/test/cli/program.test.ts
+++ b/test/cli/program.test.ts
@@ -29,7 +29,7 @@
 async function run(words: readonly string[], commands = COMMANDS) {
   const lines: string[] = [];
   const errors: string[] = [];
-  let paused = 0;
+  let pausedMs = 0;
   const code = await runProgram(
     words,
     {
@@ -37,12 +37,12 @@
       writeError: (text) => errors.push(text),
       environment: { PEER_TOKEN: 'a-shared-peer-token', WARDWING_TOKEN: 'token-of-amal' },
       pause: async (duration) => {
-        paused += duration;
+        pausedMs += duration;
       },
     },
     commands,
   );
-  return { code, lines, errors, paused };
+  return { code, lines, errors, paused: pausedMs };
 }
 
 interface Received {
@@ -177,7 +177,7 @@
   'confirm --wait reports each zone when the plan is active, and partitioned ones',
   async (t) => {
     let statusRequests = 0;
-    const silent = { lowestRevision: null, nodes: 2, answered: 0, fresh: false };
+    const partitioned = { lowestRevision: null, nodes: 2, answered: 0, fresh: false };
     const zone = (lowestRevision: number) => ({ lowestRevision, nodes: 2, fresh: true });
     const server = await startServer(({ line }) => {
       if (line.startsWith('POST')) return [202, { revision: 20 }];
@@ -185,7 +185,7 @@
       // The first status lacks the answer of one node, whose revision may be lower.
       const abdali =
         statusRequests >= 2 ? zone(20) : { ...zone(statusRequests === 1 ? 20 : 19), answered: 1 };
-      return [200, { zones: { abdali, marka: statusRequests >= 3 ? zone(21) : silent } }];
+      return [200, { zones: { abdali, marka: statusRequests >= 3 ? zone(21) : partitioned } }];
     });
     const words = ['intent', 'confirm', 'p', '--wait', '--json', '--endpoint', server.endpoint];
     const result = await run(words);
--- a/test/routing/home-admission.test.ts
+++ b/test/routing/home-admission.test.ts
@@ -145,13 +145,13 @@
       const shares = maxMinShares(capacity, demands);
       const shareOf = (account: string) => shares.get(account) ?? 0;
       const total = demands.reduce((sum, one) => sum + shareOf(one.account), 0);
-      const asked = demands.reduce((sum, one) => sum + one.demand, 0);
+      const totalDemand = demands.reduce((sum, one) => sum + one.demand, 0);
       const level = Math.max(0, ...demands.map((one) => shareOf(one.account) / one.weight));
       const isFair = demands.every((one) => {
         const share = shareOf(one.account);
         return share >= one.demand - 1e-9 || share / one.weight >= level - 1e-9;
       });
-      return isFair && Math.abs(total - Math.min(capacity, asked)) < 1e-6;
+      return isFair && Math.abs(total - Math.min(capacity, totalDemand)) < 1e-6;
     }),
     { seed: 3, numRuns: 500 },
   );
@@ -172,8 +172,8 @@
       const queued = new Map<string, string>();
       return events.every(({ kind, account, pick }, at) => {
         if (kind === 'release') {
-          const held = [...running.keys(), ...queued.keys()];
-          const id = held[pick % Math.max(1, held.length)] ?? 'none';
+          const dispatchIds = [...running.keys(), ...queued.keys()];
+          const id = dispatchIds[pick % Math.max(1, dispatchIds.length)] ?? 'none';
           running.delete(id);
           queued.delete(id);
           for (const started of admission.release(id, at)) {
@@ -193,12 +193,13 @@
         }
         const kinds = [...running.values()];
         const trainingRuns = kinds.filter((one) => one === 'training').length;
-        const waitsBehind = [...queued.values()].includes('interactive') && trainingRuns > 0;
+        const interactiveWaitsForTraining =
+          [...queued.values()].includes('interactive') && trainingRuns > 0;
         return (
           running.size <= 8 &&
           trainingRuns <= 6 &&
           queued.size <= 7 &&
-          !waitsBehind &&
+          !interactiveWaitsForTraining &&
           !kinds.includes('unknown') &&
           admission.counts(worker).outstanding === running.size + queued.size
         );
--- a/test/routing/worker-topology.test.ts
+++ b/test/routing/worker-topology.test.ts
@@ -18,12 +18,12 @@
 }) as unknown as readonly MachineRecord[];
 
 /** Number of workers followed in each zone. */
-function followedCounts(wanted: readonly WantedModel[]): readonly number[] {
+function followedCounts(models: readonly WantedModel[]): readonly number[] {
   const self = NODES[0];
   if (self === undefined) throw new RangeError('no nodes');
   const topology = new WorkerTopology(self, 32);
   topology.updateMachines(MACHINES);
-  topology.updateWanted(wanted);
+  topology.updateWanted(models);
   topology.updateNodes((zone) => NODES.filter((one) => one.zone === zone));
   return topology.subsets().map((subset) => subset.records.length);
 }
--- a/test/settings/load-settings.test.ts
+++ b/test/settings/load-settings.test.ts
@@ -14,9 +14,9 @@
 }
 
 function problemsOf(text: string, environment = ENVIRONMENT): readonly SchemaProblem[] {
-  const loaded = load(text, {}, environment);
-  if (loaded.isOk) throw new Error('the settings were accepted');
-  return loaded.error;
+  const result = load(text, {}, environment);
+  if (result.isOk) throw new Error('the settings were accepted');
+  return result.error;
 }
 
 t.test('a file is converted to plain numbers, with defaults', async (t) => {
