--- a/src/cli/in-force-report.ts
+++ b/src/cli/activation-report.ts
@@ -31,7 +31,7 @@
  * Polls the status and prints each zone once the revision is active there. After the timeout it
  * prints the other zones; a partitioned one (`cut-off`) applies the cut-off rule of the intent.
  */
-export async function waitUntilInForce(
+export async function waitUntilActive(
   input: CommandInput,
   client: OperatorClient,
   revision: number,
@@ -64,7 +64,7 @@
   reported: Set<string>,
 ): ZoneReport[] {
   const activeZones = Object.entries(zones).filter(
-    ([zone, status]) => !reported.has(zone) && isInForce(status, revision),
+    ([zone, status]) => !reported.has(zone) && isActive(status, revision),
   );
   return activeZones.map(([zone, status]) => {
     reported.add(zone);
@@ -73,7 +73,7 @@
 }
 
 /** All nodes of the zone must report, as the others may have an older revision. */
-function isInForce(status: ZoneStatus, revision: number): boolean {
+function isActive(status: ZoneStatus, revision: number): boolean {
   const complete = (status.answered ?? status.nodes) >= status.nodes;
   return complete && status.lowestRevision !== null && status.lowestRevision >= revision;
 }
--- a/src/cli/intent-confirm-command.ts
+++ b/src/cli/intent-confirm-command.ts
@@ -1,5 +1,6 @@
 /** `wardwing intent confirm`: applies a plan; with `--wait`, until it is active in all zones. */
 import { ACCEPTED_DURATIONS, parseDuration } from '../settings/duration.js';
+import { waitUntilActive } from './activation-report.js';
 import { CLIENT_FLAGS, clientOf, printDocument, reportFailure } from './client-command.js';
 import {
   type Command,
@@ -10,7 +11,6 @@
   valueFlag,
 } from './command.js';
 import { EXIT_CODES, type ExitCode } from './exit-codes.js';
-import { waitUntilInForce } from './in-force-report.js';
 import type { OperatorClient } from './operator-client.js';
 
 const DEFAULT_WAIT_TIMEOUT = '30s';
@@ -52,5 +52,5 @@
   if (answer.isErr) return reportFailure(input, answer.error, true);
   printDocument(input, answer.value);
   if (input.flags.wait !== true) return EXIT_CODES.ok;
-  return waitUntilInForce(input, client, Number(answer.value.revision), waitTimeout);
+  return waitUntilActive(input, client, Number(answer.value.revision), waitTimeout);
 }
--- a/src/routing/home-loads.ts
+++ b/src/routing/home-loads.ts
@@ -93,7 +93,7 @@
   }
 
   /** Schedules a push of the worker's load after a change of its state. */
-  noteStateChange(worker: WorkerId): void {
+  schedulePush(worker: WorkerId): void {
     if (this.#isHome(worker)) this.#publisher.markChanged(worker);
   }
 
--- a/src/routing/worker-directory.ts
+++ b/src/routing/worker-directory.ts
@@ -1,6 +1,7 @@
 /**
- * The directory of model workers at one node: their homes, states and loads. A node polls the workers
- * whose home it is and follows a subset of the others, so that its state is bounded in large fleets.
+ * The directory of model workers at one node: their homes, states and loads. The home of a worker is
+ * the node that polls it, admits its work and publishes its load. A node subscribes to the load of a
+ * subset of workers only, so that its state is bounded in large fleets.
  */
 import type { DrainRecord } from '../config-feed/configuration.js';
 import {
@@ -64,7 +65,7 @@
       topology: this.#topology,
       staleAfter: options.staleAfter ?? 5_000,
       sentCountTimeout: SENT_COUNT_TIMEOUT_PUSHES * pushInterval,
-      onChange: (change) => this.#stateChanged(change),
+      onChange: (change) => this.#onStateChange(change),
     });
     this.#homeLoads = new HomeLoads({
       random,
@@ -170,7 +171,7 @@
 
   /** Counts a dispatch of this node until the home next reports the load of the worker. */
   noteSent(worker: WorkerId, now: Milliseconds): void {
-    this.#entries.get(worker)?.noteSent(now);
+    this.#entries.get(worker)?.recordDispatch(now);
   }
 
   /** Applies the counts of this node's admission control for a worker whose home it is. */
@@ -246,7 +247,7 @@
   #applyNotHome(from: NodeIdentity, worker: WorkerId, now: Milliseconds): void {
     const entry = this.#entries.get(worker);
     if (entry === undefined || !sameIdentity(entry.home, from)) return;
-    entry.forgetLoad();
+    entry.discardLoad();
     this.#entries.refresh(entry, now);
   }
 
@@ -271,10 +272,10 @@
     return leavesOne && health.modelEjected < this.#detector.ejectionLimit(health.modelSize);
   }
 
-  #stateChanged(change: WorkerStateChange): void {
+  #onStateChange(change: WorkerStateChange): void {
     if (change.from === 'leaving' || change.to === 'leaving') this.#followed.clearLists();
     this.#effects.push({ kind: 'state-change', change });
-    this.#homeLoads.noteStateChange(change.worker);
+    this.#homeLoads.schedulePush(change.worker);
   }
 
   #poll(worker: WorkerRecord): void {
--- a/src/routing/worker-entry.ts
+++ b/src/routing/worker-entry.ts
@@ -89,13 +89,13 @@
     this.sentSinceUpdate = 0;
   }
 
-  noteSent(now: Milliseconds): void {
+  recordDispatch(now: Milliseconds): void {
     if (this.sentSinceUpdate === 0) this.sentAt = now;
     this.sentSinceUpdate += 1;
   }
 
   /** Discards the load: the worker is `connecting` until its home publishes a new one. */
-  forgetLoad(): void {
+  discardLoad(): void {
     this.activeVersion = undefined;
     this.loadUpdatedAt = Number.NEGATIVE_INFINITY;
   }
