--- a/src/cli/in-force-report.ts
+++ b/src/cli/activation-report.ts
@@ -1,21 +1,20 @@
-/** Watches the status of the fleet until a revision is in force in every zone. */
+/** Polls the status of the fleet until a revision is active in every zone. */
 import { printDocument } from './client-command.js';
 import type { CommandInput } from './command.js';
 import { EXIT_CODES, type ExitCode } from './exit-codes.js';
 import type { OperatorClient } from './operator-client.js';
 
-/** Time between two looks at the status, in milliseconds. */
-const STATUS_INTERVAL = 500;
+const STATUS_POLL_INTERVAL_MS = 500;
 
-/** What the status says of one zone. */
+/** Status of one zone. */
 export interface ZoneStatus {
-  /** Lowest revision in force on a node of the zone that answered; `null` where none did. */
+  /** Lowest active revision of the nodes of the zone that answered; `null` where none did. */
   readonly lowestRevision: number | null;
-  /** Nodes that are thought to be in service. */
+  /** Number of live nodes. */
   readonly nodes: number;
-  /** Nodes that told their revision; all of them where it is left out. */
+  /** Number of nodes that reported their revision. @default nodes */
   readonly answered?: number;
-  /** Whether the zone can show that its configuration is fresh. */
+  /** Whether the configuration of the zone is fresh. */
   readonly fresh: boolean;
 }
 
@@ -24,15 +23,15 @@
   readonly zone: string;
   readonly state: 'in-force' | 'not-seen' | 'cut-off';
   readonly revision: number | null;
-  /** Time from the confirmation until it was seen, in milliseconds. */
+  /** Time from the confirmation to this report, in milliseconds. */
   readonly after_ms: number;
 }
 
 /**
- * Asks for the status again and again, and prints each zone as soon as the revision is in force
- * there. A cut-off zone follows the intent's cut-off rule; it is named at the end.
+ * Polls the status and prints each zone once the revision is active there. After the timeout it
+ * prints the other zones; a partitioned one (`cut-off`) applies the cut-off rule of the intent.
  */
-export async function waitUntilInForce(
+export async function waitUntilActive(
   input: CommandInput,
   client: OperatorClient,
   revision: number,
@@ -40,16 +39,16 @@
 ): Promise<ExitCode> {
   const reported = new Set<string>();
   let zones: Readonly<Record<string, ZoneStatus>> = {};
-  for (let waited = 0; ; waited += STATUS_INTERVAL) {
+  for (let elapsed = 0; ; elapsed += STATUS_POLL_INTERVAL_MS) {
     const answer = await client.send({ method: 'GET', path: '/v1/status', body: null });
     if (answer.isOk) zones = zonesOf(answer.value);
-    for (const report of freshReports(zones, revision, waited, reported)) {
+    for (const report of newReports(zones, revision, elapsed, reported)) {
       printDocument(input, report);
     }
     const complete = Object.keys(zones).length > 0 && reported.size === Object.keys(zones).length;
     if (complete) return EXIT_CODES.ok;
-    if (waited >= timeout) return reportMissing(input, zones, reported, waited);
-    await input.terminal.pause(STATUS_INTERVAL);
+    if (elapsed >= timeout) return reportUnfinished(input, zones, reported, elapsed);
+    await input.terminal.pause(STATUS_POLL_INTERVAL_MS);
   }
 }
 
@@ -58,32 +57,32 @@
   return typeof zones === 'object' && zones !== null ? (zones as Record<string, ZoneStatus>) : {};
 }
 
-function freshReports(
+function newReports(
   zones: Readonly<Record<string, ZoneStatus>>,
   revision: number,
-  waited: number,
+  elapsed: number,
   reported: Set<string>,
 ): ZoneReport[] {
-  const reached = Object.entries(zones).filter(
-    ([zone, status]) => !reported.has(zone) && isInForce(status, revision),
+  const activeZones = Object.entries(zones).filter(
+    ([zone, status]) => !reported.has(zone) && isActive(status, revision),
   );
-  return reached.map(([zone, status]) => {
+  return activeZones.map(([zone, status]) => {
     reported.add(zone);
-    return { zone, state: 'in-force', revision: status.lowestRevision, after_ms: waited };
+    return { zone, state: 'in-force', revision: status.lowestRevision, after_ms: elapsed };
   });
 }
 
-/** A node that did not tell its revision may be behind, so all nodes of the zone must have. */
-function isInForce(status: ZoneStatus, revision: number): boolean {
+/** All nodes of the zone must report, as the others may have an older revision. */
+function isActive(status: ZoneStatus, revision: number): boolean {
   const complete = (status.answered ?? status.nodes) >= status.nodes;
   return complete && status.lowestRevision !== null && status.lowestRevision >= revision;
 }
 
-function reportMissing(
+function reportUnfinished(
   input: CommandInput,
   zones: Readonly<Record<string, ZoneStatus>>,
   reported: ReadonlySet<string>,
-  waited: number,
+  elapsed: number,
 ): ExitCode {
   for (const [zone, status] of Object.entries(zones)) {
     if (reported.has(zone)) continue;
@@ -92,7 +91,7 @@
       zone,
       state,
       revision: status.lowestRevision,
-      after_ms: waited,
+      after_ms: elapsed,
     };
     printDocument(input, report);
   }
--- a/src/cli/document-text.ts
+++ b/src/cli/document-text.ts
@@ -1,11 +1,10 @@
-/** Shows a document as indented text; a list of records becomes a table. */
+/** Renders a JSON document as indented text; a list of flat records becomes a table. */
 
 type Fields = Readonly<Record<string, unknown>>;
 
 const INDENT = '  ';
 const COLUMN_GAP = '  ';
 
-/** The lines of a document. */
 export function renderDocument(document: unknown): string[] {
   return renderValue(document, '');
 }
@@ -34,11 +33,11 @@
 function renderTable(records: readonly Fields[], indent: string): string[] {
   const columns = [...new Set(records.flatMap((record) => Object.keys(record)))];
   const rows = [columns, ...records.map((record) => columns.map((column) => cell(record[column])))];
-  const widths = columns.map((_, place) =>
-    Math.max(...rows.map((row) => (row[place] ?? '').length)),
+  const widths = columns.map((_, index) =>
+    Math.max(...rows.map((row) => (row[index] ?? '').length)),
   );
   return rows.map((row) => {
-    const cells = row.map((text, place) => text.padEnd(widths[place] ?? 0));
+    const cells = row.map((text, index) => text.padEnd(widths[index] ?? 0));
     return (indent + cells.join(COLUMN_GAP)).trimEnd();
   });
 }
@@ -47,7 +46,7 @@
   return typeof value === 'object' && value !== null && !Array.isArray(value);
 }
 
-/** Values that fit on one line: plain ones, and lists of plain ones. */
+/** Whether a value is a scalar or a list of scalars, which are rendered on one line. */
 function isSimple(value: unknown): boolean {
   if (Array.isArray(value)) return value.every((item) => typeof item !== 'object');
   return typeof value !== 'object' || value === null;
--- a/src/cli/explain-command.ts
+++ b/src/cli/explain-command.ts
@@ -1,6 +1,6 @@
 /**
- * `wardwing explain`: shows what was decided for a request, step, worker or group, and why; asks a
- * node, or reads the logs of nodes from a folder.
+ * `wardwing explain`: prints the decisions about a request, step, worker or group with their reasons,
+ * from a node or from log files.
  */
 import { readdirSync, readFileSync, statSync } from 'node:fs';
 import path from 'node:path';
@@ -10,32 +10,37 @@
   parseLogLine,
   traceSubject,
 } from '../telemetry/log-trace.js';
-import { askAndPrint, CLIENT_FLAGS } from './client-command.js';
+import { CLIENT_FLAGS, requestAndPrint } from './client-command.js';
 import { type Command, type CommandInput, flagText, reportProblems, valueFlag } from './command.js';
 import { EXIT_CODES, type ExitCode } from './exit-codes.js';
 
-/** The command. */
 export const explainCommand: Command = {
   words: 'explain',
   parameters: ['id'],
-  summary: 'Show what was decided for a request, step or worker, and why',
-  flags: [...CLIENT_FLAGS, valueFlag('logs', 'Folder or file with logs of nodes, in place of one')],
+  summary: 'Show the decisions about a request, step or worker, with their reasons',
+  flags: [
+    ...CLIENT_FLAGS,
+    valueFlag('logs', 'Folder or file with logs of nodes, instead of a request to a node'),
+  ],
   examples: ['explain step-17 --endpoint 127.0.0.1:7400', 'explain 9c41d07be2a35f68 --logs logs'],
   async run(input) {
     const logs = flagText(input.flags, 'logs');
     if (logs !== undefined) return explainFromLogs(input, logs);
     const subject = encodeURIComponent(input.parameters[0] ?? '');
     const request = { method: 'GET', path: `/v1/explain/${subject}`, body: null } as const;
-    return askAndPrint(input, request, false);
+    return requestAndPrint(input, request, false);
   },
 };
 
-function explainFromLogs({ parameters, flags, terminal }: CommandInput, logs: string): ExitCode {
-  const lines = readLogs(logs);
+function explainFromLogs(
+  { parameters, flags, terminal }: CommandInput,
+  location: string,
+): ExitCode {
+  const lines = readLogs(location);
   if (lines === undefined) {
     const problem = {
       key: '--logs',
-      reason: `"${logs}" cannot be read`,
+      reason: `"${location}" cannot be read`,
       accepted: 'a folder of logs',
     };
     return reportProblems(terminal, [problem]);
@@ -52,12 +57,12 @@
   return EXIT_CODES.ok;
 }
 
-/** All lines of a file, or of the files of a folder; `undefined` where there is none. */
-function readLogs(place: string): LogLine[] | undefined {
+/** Parsed lines of a file or of the files of a folder; `undefined` where they cannot be read. */
+function readLogs(location: string): LogLine[] | undefined {
   try {
-    const files = statSync(place).isDirectory()
-      ? readdirSync(place).map((name) => path.join(place, name))
-      : [place];
+    const files = statSync(location).isDirectory()
+      ? readdirSync(location).map((name) => path.join(location, name))
+      : [location];
     return files
       .filter((file) => statSync(file).isFile())
       .flatMap((file) => readFileSync(file, 'utf8').split('\n'))
--- a/src/cli/intent-confirm-command.ts
+++ b/src/cli/intent-confirm-command.ts
@@ -1,5 +1,6 @@
-/** `wardwing intent confirm`: puts a plan into force, and with `--wait` watches it get there. */
+/** `wardwing intent confirm`: applies a plan; with `--wait`, until it is active in all zones. */
 import { ACCEPTED_DURATIONS, parseDuration } from '../settings/duration.js';
+import { waitUntilActive } from './activation-report.js';
 import { CLIENT_FLAGS, clientOf, printDocument, reportFailure } from './client-command.js';
 import {
   type Command,
@@ -10,30 +11,28 @@
   valueFlag,
 } from './command.js';
 import { EXIT_CODES, type ExitCode } from './exit-codes.js';
-import { waitUntilInForce } from './in-force-report.js';
 import type { OperatorClient } from './operator-client.js';
 
-const STANDARD_WAIT = '30s';
+const DEFAULT_WAIT_TIMEOUT = '30s';
 
-/** The command. */
 export const intentConfirmCommand: Command = {
   words: 'intent confirm',
   parameters: ['plan'],
-  summary: 'Put a plan into force, unless the intent changed since the plan was made',
+  summary: 'Apply a plan, unless the intent changed after the plan was made',
   flags: [
     ...CLIENT_FLAGS,
-    switchFlag('wait', 'Report per zone when the change is in force'),
-    valueFlag('wait-timeout', `Longest wait for all zones, ${STANDARD_WAIT} where not given`),
+    switchFlag('wait', 'Report each zone when the change is active there'),
+    valueFlag('wait-timeout', `Timeout of the wait for all zones, default ${DEFAULT_WAIT_TIMEOUT}`),
   ],
   examples: [
     'intent confirm 3f2a90c41b7d5e68 --endpoint 127.0.0.1:7400',
     'intent confirm 3f2a90c41b7d5e68 --wait --wait-timeout 1m --endpoint 127.0.0.1:7400',
   ],
   async run(input) {
-    const asked = flagText(input.flags, 'wait-timeout') ?? STANDARD_WAIT;
-    const timeout = parseDuration(asked);
+    const text = flagText(input.flags, 'wait-timeout') ?? DEFAULT_WAIT_TIMEOUT;
+    const timeout = parseDuration(text);
     if (timeout.isNothing) {
-      const reason = `"${asked}" is not a duration`;
+      const reason = `"${text}" is not a duration`;
       const problem = { key: '--wait-timeout', reason, accepted: ACCEPTED_DURATIONS };
       return reportProblems(input.terminal, [problem]);
     }
@@ -53,5 +52,5 @@
   if (answer.isErr) return reportFailure(input, answer.error, true);
   printDocument(input, answer.value);
   if (input.flags.wait !== true) return EXIT_CODES.ok;
-  return waitUntilInForce(input, client, Number(answer.value.revision), waitTimeout);
+  return waitUntilActive(input, client, Number(answer.value.revision), waitTimeout);
 }
--- a/src/cli/intent-propose-command.ts
+++ b/src/cli/intent-propose-command.ts
@@ -1,12 +1,11 @@
-/** `wardwing intent propose`: sends a draft and prints the plan, which changes nothing yet. */
+/** `wardwing intent propose`: sends a draft and prints the plan; changes nothing. */
 import type { Result } from 'true-myth';
 import { intentSchema } from '../intents/intent-schema.js';
 import { parseToml, readText } from '../settings/load-settings.js';
 import { checkDocument, type SchemaProblem } from '../settings/schema-problems.js';
-import { askAndPrint, CLIENT_FLAGS } from './client-command.js';
+import { CLIENT_FLAGS, requestAndPrint } from './client-command.js';
 import { type Command, reportProblems } from './command.js';
 
-/** The command. */
 export const intentProposeCommand: Command = {
   words: 'intent propose',
   parameters: ['file'],
@@ -17,11 +16,11 @@
     const draft = readDraft(input.parameters[0] ?? '');
     if (draft.isErr) return reportProblems(input.terminal, draft.error);
     const body = { draft: draft.value };
-    return askAndPrint(input, { method: 'POST', path: '/v1/intents/propose', body }, false);
+    return requestAndPrint(input, { method: 'POST', path: '/v1/intents/propose', body }, false);
   },
 };
 
-/** Reads the written form of an intent; the node checks it again, with the fleet's zones. */
+/** Reads and validates an intent file; the node validates it again with the zones of the fleet. */
 function readDraft(
   file: string,
 ): Result<Readonly<Record<string, unknown>>, readonly SchemaProblem[]> {
--- a/src/settings/settings-schema.ts
+++ b/src/settings/settings-schema.ts
@@ -1,6 +1,6 @@
 /**
- * The schema of the settings file (TOML, keys in snake case) and the checks that span several
- * keys. An unknown key is a problem, never ignored.
+ * The schema of the settings file (TOML, keys in snake case) and the checks across keys. Unknown keys
+ * are rejected.
  */
 import { isIP } from 'node:net';
 import { Result } from 'true-myth';
@@ -8,7 +8,7 @@
 import { KIBIBYTE, MEBIBYTE } from '../core/units.js';
 import { checkDocument, durationField, nameField, type SchemaProblem } from './schema-problems.js';
 
-const LARGEST_PORT = 65_535;
+const MAX_PORT = 65_535;
 
 const nameSchema = nameField();
 
@@ -43,7 +43,7 @@
     .int()
     .min(1)
     .max(9)
-    .refine((count) => count % 2 === 1, 'an even number gives no better majority')
+    .refine((count) => count % 2 === 1, 'an even number of replicas tolerates no more failures')
     .default(3)
     .describe('an odd whole number from 1 to 9'),
 });
@@ -64,7 +64,7 @@
   })
   .refine(
     (peers) => (peers.token_file === undefined) !== (peers.token_variable === undefined),
-    'exactly one source of the token must be named',
+    'exactly one source of the token is required',
   )
   .describe('token_file or token_variable, not both');
 
@@ -84,7 +84,6 @@
   machine_list_interval: duration('1s'),
 });
 
-/** The written form of the settings. */
 const settingsSchema = z.strictObject({
   node: nodeSchema,
   platform: platformSchema,
@@ -98,10 +97,10 @@
     .prefault({}),
 });
 
-/** A checked settings file. */
+/** A valid settings document, with the keys of the file. */
 export type WrittenSettings = z.output<typeof settingsSchema>;
 
-/** Checks a settings document; reports all problems of form, or else all that span keys. */
+/** Validates a document; checks across keys run only if each key is valid. */
 export function checkSettings(
   document: unknown,
 ): Result<WrittenSettings, readonly SchemaProblem[]> {
@@ -116,25 +115,25 @@
 function zoneProblems(written: WrittenSettings): SchemaProblem[] {
   const { node, fleet } = written;
   const names = fleet.zones.map((zone) => zone.name);
-  const problems = repeatedNames(names).map((name) => ({
+  const problems = duplicatesIn(names).map((name) => ({
     key: 'fleet.zones',
     reason: `the zone "${name}" is named twice`,
     accepted: 'each zone once',
   }));
-  const own = fleet.zones.find((zone) => zone.name === node.zone);
-  if (own === undefined) {
+  const ownZone = fleet.zones.find((zone) => zone.name === node.zone);
+  if (ownZone === undefined) {
     const reason = `"${node.zone}" is not a zone of the fleet`;
     problems.push({ key: 'node.zone', reason, accepted: names.join(', ') });
-  } else if (own.region !== node.region) {
-    const reason = `the zone "${own.name}" is in another region`;
-    problems.push({ key: 'node.region', reason, accepted: own.region });
+  } else if (ownZone.region !== node.region) {
+    const reason = `the zone "${ownZone.name}" is in another region`;
+    problems.push({ key: 'node.region', reason, accepted: ownZone.region });
   }
   return problems;
 }
 
 function accountProblems(written: WrittenSettings): SchemaProblem[] {
-  const names = repeatedNames(written.accounts.map((account) => account.name));
-  const digests = repeatedNames(written.accounts.map((account) => account.token_digest));
+  const names = duplicatesIn(written.accounts.map((account) => account.name));
+  const digests = duplicatesIn(written.accounts.map((account) => account.token_digest));
   return [
     ...names.map((name) => ({
       key: 'accounts',
@@ -149,18 +148,18 @@
   ];
 }
 
-function repeatedNames(names: readonly string[]): string[] {
-  return [...new Set(names.filter((name, place) => names.indexOf(name) !== place))];
+function duplicatesIn(names: readonly string[]): string[] {
+  return [...new Set(names.filter((name, index) => names.indexOf(name) !== index))];
 }
 
-function wholeNumber(least: number, most: number): z.ZodInt {
-  return z.int().min(least).max(most).describe(`a whole number from ${least} to ${most}`);
+function wholeNumber(minimum: number, maximum: number): z.ZodInt {
+  return z.int().min(minimum).max(maximum).describe(`a whole number from ${minimum} to ${maximum}`);
 }
 
-function duration(standard: string) {
+function duration(defaultValue: string) {
   return durationField()
-    .refine((value) => value > 0, 'this must be longer than nothing')
-    .prefault(standard);
+    .refine((value) => value > 0, 'the duration must be above 0')
+    .prefault(defaultValue);
 }
 
 function isEndpoint(text: string): boolean {
@@ -169,5 +168,5 @@
   const port = Number(match[3]);
   const address = match[1] ?? match[2] ?? '';
   const version = match[1] === undefined ? 4 : 6;
-  return isIP(address) === version && port >= 1 && port <= LARGEST_PORT;
+  return isIP(address) === version && port >= 1 && port <= MAX_PORT;
 }
--- a/test/settings/live-settings.test.ts
+++ b/test/settings/live-settings.test.ts
@@ -18,7 +18,7 @@
   'bounds.grace_s=8',
 ];
 
-function fixture(test: { teardown(work: () => void): void }) {
+function startLiveSettings(test: { teardown(work: () => void): void }) {
   const folder = mkdtempSync(path.join(os.tmpdir(), 'wardwing-settings-'));
   test.teardown(() => rmSync(folder, { recursive: true }));
   const file = path.join(folder, 'node.conf');
@@ -36,13 +36,13 @@
     read: readSettings,
     log,
     reloadable: ['timings'],
-    lookInterval: 20,
+    pollInterval: 20,
   });
   return { live, write, lines, log, file };
 }
 
-t.test('a reload takes times in, and says what needs a restart', async (t) => {
-  const { live, write, lines } = fixture(t);
+t.test('a reload applies timings, and logs the keys that need a restart', async (t) => {
+  const { live, write, lines } = startLiveSettings(t);
   write(['grace_s=8', 'grace_s=5'], ['zone=hall-1', 'zone=hall-2']);
   live.reload('signal');
   t.equal(live.current.timings.stopLimit, 5_000);
@@ -55,32 +55,32 @@
   });
 });
 
-t.test('a file that cannot be used changes nothing, and the log names the key', async (t) => {
-  const { live, write, lines } = fixture(t);
+t.test('an invalid file changes nothing, and the log names the key', async (t) => {
+  const { live, write, lines } = startLiveSettings(t);
   write(['grace_s=8', 'grace_s=soon']);
   live.reload('signal');
   t.equal(live.current.timings.stopLimit, 8_000);
   t.match(JSON.parse(lines.at(-1) ?? ''), { msg: 'settings-rejected', problem: /bounds\.grace_s/ });
 });
 
-t.test('a file that changes without a signal is read again', async (t) => {
-  const { live, write } = fixture(t);
+t.test('a changed file is reloaded without a signal', async (t) => {
+  const { live, write } = startLiveSettings(t);
   live.watch();
   t.teardown(() => live.unwatch());
   write(['grace_s=8', 'grace_s=5.5']);
   await eventually(() => live.current.timings.stopLimit === 5_500);
 });
 
-t.test('a change just before the file is followed is not missed', async (t) => {
-  const { live, write } = fixture(t);
+t.test('a change between the first read and the watch is detected', async (t) => {
+  const { live, write } = startLiveSettings(t);
   write(['grace_s=8', 'grace_s=4.5']);
   live.watch();
   t.teardown(() => live.unwatch());
   await eventually(() => live.current.timings.stopLimit === 4_500);
 });
 
-t.test('a file that is gone changes nothing, and is said once', async (t) => {
-  const { live, lines, file } = fixture(t);
+t.test('a missing file changes nothing, and is logged once', async (t) => {
+  const { live, lines, file } = startLiveSettings(t);
   rmSync(file);
   live.watch();
   t.teardown(() => live.unwatch());
@@ -91,8 +91,8 @@
   t.equal(live.current.timings.stopLimit, 8_000);
 });
 
-t.test('a file that cannot be used at the start ends the start', async (t) => {
-  const { write, log, file } = fixture(t);
+t.test('an invalid file at the start is an error', async (t) => {
+  const { write, log, file } = startLiveSettings(t);
   write(['ip=10.0.0.1', '']);
   const start = (): unknown =>
     new LiveSettings({ path: file, read: readSettings, log, reloadable: ['timings'] });
