--- a/src/jobs/job-submissions.ts
+++ b/src/jobs/job-submissions.ts
@@ -177,7 +177,7 @@
   /**
    * Claims the zone's journal of a new job, so that no other node of the zone can accept the same
    * job without the store. A claim without entries whose writer has terminated is taken over,
-   * because that writer confirmed the job to nobody; a live writer may still accept it.
+   * because that writer has confirmed the job to no caller; a live writer may still accept it.
    */
   private async openJournal(job: string): Promise<JobJournal | 'held-elsewhere' | undefined> {
     const { journals, isWriterLive = () => true } = this.options;
--- a/test/jobs/item-scorer.test.ts
+++ b/test/jobs/item-scorer.test.ts
@@ -144,7 +144,7 @@
 t.test('the last slots of a worker are reserved for interactive requests', async (t) => {
   const run = scenario([text('ab'), scored('late')]);
   const scorer = run.node.registry.get('s1');
-  if (scorer === undefined) throw new Error('no worker');
+  if (scorer === undefined) throw new Error('worker s1 is not registered');
   scorer.inFlight = 3;
   await run.node.service.submit(scoredSpecification('job', 1), always);
   await workUntil(run.node, () => run.node.service.ownedJobs()[0]?.unscored().length === 1);
--- a/test/jobs/item-work-cache.test.ts
+++ b/test/jobs/item-work-cache.test.ts
@@ -38,7 +38,7 @@
   const cache = new ItemWorkCache(clock);
   cache.add(job);
   const [item] = job.spec.items.slice(2);
-  if (item === undefined) throw new Error('no item');
+  if (item === undefined) throw new Error('the job has fewer than three items');
   t.equal(cache.find({ ...item, body: 'other' }), undefined);
 });
 
--- a/test/jobs/misplaced-jobs.test.ts
+++ b/test/jobs/misplaced-jobs.test.ts
@@ -170,7 +170,7 @@
       node.registry.put(worker('w1'));
       await node.service.submitHere(specification('job', 1), always);
       const [job] = node.service.ownedJobs();
-      if (job === undefined) throw new Error('no job');
+      if (job === undefined) throw new Error('the node owns no job');
       const completed = { id: 'item-0', state: 'completed', text: 'ab', versions: [1] } as const;
       for (const entry of job.items.values()) job.finish(entry, { ...completed, versions: [1] });
       t.equal(node.service.releaseTakenOver('job', zone).size, releasedItems, zone);
