--- a/src/placement/allowed-regions.ts
+++ b/src/placement/allowed-regions.ts
@@ -4,7 +4,7 @@
 /** Allowed regions; `undefined` allows all, an empty list none. */
 export type AllowedRegions = readonly RegionName[] | undefined;
 
-/** Intersection of two rules. */
+/** Regions that both rules allow. */
 export function allowedByBoth(left: AllowedRegions, right: AllowedRegions): AllowedRegions {
   if (left === undefined) return right;
   if (right === undefined) return left;
--- a/src/placement/cold-permits.ts
+++ b/src/placement/cold-permits.ts
@@ -11,12 +11,11 @@
 
 /** A gateway's request for permits for one worker. */
 export interface PermitRequest {
-  /** Id of the worker. */
   readonly worker: string;
   readonly life: WorkerIncarnation;
   readonly permits: number;
   /**
-   * Age of the event after which the requester no longer takes the worker for warm; `undefined`
+   * Age of the event after which the requester no longer considers the worker warm; `undefined`
    * where there was none and the requester has no information yet.
    */
   readonly doubtAge: Milliseconds | undefined;
--- a/src/placement/cold-tolerance.ts
+++ b/src/placement/cold-tolerance.ts
@@ -1,7 +1,7 @@
 /** How far requests to a cold worker may exceed the rate of its `ColdStart` within one second. */
 export interface ColdTolerance {
-  /** Multiplies the rate. */
+  /** Factor by which the rate is multiplied. */
   readonly factor: number;
-  /** Added to the multiplied rate. */
+  /** Requests added to the multiplied rate. */
   readonly requests: number;
 }
--- a/src/placement/cold-worker-rule.ts
+++ b/src/placement/cold-worker-rule.ts
@@ -1,6 +1,6 @@
 /**
- * Sends requests to cold workers only under permits. A placement that meets a cold worker without a
- * permit requests some; each request that is sent uses one up.
+ * Sends requests to cold workers only under permits. Placing a request on a cold worker without a
+ * permit requests permits from the granter; each request sent uses up one permit.
  */
 import type { Milliseconds, Revision } from '../core/units.js';
 import { type Clock, suspendAwareTime } from '../serving/clock.js';
@@ -19,17 +19,16 @@
 /** Permits requested at a time for one worker: one to use now and one in advance. */
 const PERMITS_PER_REQUEST = 2;
 
-/** Workers in one request; the next placement requests permits for those left out. */
+/** Workers in one request; later placements request permits for the remaining workers. */
 const MAX_REQUESTED_WORKERS = 64;
 
 /** Pause in requests for a worker whose permits expired unused, so that other gateways get them. */
 const UNUSED_PERMIT_PAUSE: Milliseconds = 500;
 
-/** Options of {@link ColdWorkerRule}. */
 export interface ColdWorkerRuleOptions {
   readonly clock: Pick<Clock, 'now' | 'suspendedTime'>;
   readonly warmth: WorkerWarmth;
-  /** What cold workers of a service tolerate; `undefined` where its workers are never cold. */
+  /** Limits for the cold workers of a service; `undefined` where its workers are never cold. */
   readonly coldStartOf: (service: ServiceName) => ColdStart | undefined;
   /** Called when permits are needed; {@link ColdWorkerRule.takeRequests} returns the requests. */
   readonly onPermitsNeeded: () => void;
@@ -49,7 +48,7 @@
 export class ColdWorkerRule implements SendRule {
   private readonly held = new Map<WorkerIncarnation, HeldPermits>();
   private readonly requested = new Map<WorkerIncarnation, WorkerRecord>();
-  /** Time until which no permits are requested for an incarnation. */
+  /** End of the pause in permit requests, by incarnation. */
   private readonly pausedUntil = new Map<WorkerIncarnation, Milliseconds>();
   private highestTerm: Revision = 0;
 
@@ -123,11 +122,15 @@
   ): boolean {
     const { warmth, clock } = this.options;
     warmth.notePeerReport(worker, reportedWarmth, sentAt - clock.suspendedTime());
-    if (permits > 0) this.store(incarnation, permits, sentAt + PERMIT_VALIDITY);
+    if (permits > 0) this.storePermits(incarnation, permits, sentAt + PERMIT_VALIDITY);
     return reportedWarmth.kind === 'warm' || this.validPermits(incarnation) !== undefined;
   }
 
-  private store(incarnation: WorkerIncarnation, permits: number, expiresAt: Milliseconds): void {
+  private storePermits(
+    incarnation: WorkerIncarnation,
+    permits: number,
+    expiresAt: Milliseconds,
+  ): void {
     this.options.metrics.count('cold_permits', { state: 'received' }, permits);
     this.dropExpired(incarnation);
     const replaced = this.held.get(incarnation)?.remaining ?? 0;
--- a/src/placement/distance-costs.ts
+++ b/src/placement/distance-costs.ts
@@ -11,9 +11,9 @@
 type CostByDistance = Readonly<Record<ZoneDistance, number>>;
 
 /**
- * For direct requests, in shares of a worker's slots. A worker in another zone is chosen if that
- * much more of it is free. A worker in another region is chosen only once the region has no free
- * slot: for a short answer the round trip takes as long as the work.
+ * For direct requests, in shares of a worker's slots. A worker in another zone is chosen if its
+ * share of free slots is larger by the cost. A worker in another region is chosen only once the
+ * region has no free slot: for a short answer the round trip takes as long as the work.
  */
 const REQUEST_COSTS: CostByDistance = {
   'same-zone': 0,
@@ -24,8 +24,8 @@
 /**
  * For batch items where zones are autonomous, in units of the placement score: an item goes to
  * another zone when local workers have half of their slots more in use than the remote one, or are
- * slower by a third. Its text crosses between the zones, and a partition between them breaks its
- * run.
+ * slower by a third. Its text is then sent between the zones, and a partition between them breaks
+ * the run.
  */
 const ZONE_ITEM_COST = 0.3;
 
--- a/src/placement/guarded-engine.ts
+++ b/src/placement/guarded-engine.ts
@@ -4,7 +4,6 @@
 import type { FleetMetrics } from '../telemetry/fleet-metrics.js';
 import type { SendRejection, SendRules } from './send-rules.js';
 
-/** Options of {@link GuardedEngine}. */
 export interface GuardedEngineOptions {
   readonly engine: EnginePort;
   readonly rules: SendRules;
--- a/src/placement/job-residency.ts
+++ b/src/placement/job-residency.ts
@@ -37,7 +37,6 @@
 
 export type MayHold = (node: NodeId) => boolean;
 
-/** Options of {@link JobResidency}. */
 export interface JobResidencyOptions {
   readonly topology: ZoneTopology;
   readonly self: NodeId;
@@ -67,15 +66,15 @@
     const routes = this.options.routes();
     if (routes === undefined || !routes.limitsRegions) return undefined;
     const acceptanceRegion = this.onlyRegionOf(zone);
-    const owner = tenant === undefined ? undefined : routes.tenants.named(tenant);
+    const tenantRecord = tenant === undefined ? undefined : routes.tenants.named(tenant);
     const byRoutes = (requests ?? [undefined]).map((request) => {
       const route = request && routes.match(request.host, request.path);
       return route === undefined ? acceptanceRegion : route.allowedRegions;
     });
-    return byRoutes.reduce(allowedByBoth, owner?.allowedRegions);
+    return byRoutes.reduce(allowedByBoth, tenantRecord?.allowedRegions);
   }
 
-  /** Origin of a job that this node accepts. */
+  /** The tenant, requests by route and zone that determine the job's allowed regions. */
   originOf(spec: SubmittedRequests): JobOrigin {
     const { tenant } = spec;
     return { tenant, requests: this.requestsByRoute(spec), zone: this.options.topology.zone };
@@ -94,12 +93,12 @@
     return this.mayHoldIn(zone, allowed);
   }
 
-  /** {@link mayHold} for this node. */
+  /** Whether this node may store work allowed in these regions. */
   mayHoldHere(allowed: AllowedRegions): boolean {
     return this.mayHold(this.options.self, allowed);
   }
 
-  /** {@link mayHold} for any node of a zone; an unknown zone may store only unlimited work. */
+  /** Whether the nodes of a zone may store work; an unknown zone may store only unlimited work. */
   mayHoldIn(zone: ZoneName | undefined, allowed: AllowedRegions): boolean {
     const region = zone === undefined ? undefined : this.options.topology.regionOf(zone);
     return allowsRegion(allowed, region);
@@ -112,7 +111,7 @@
     return topology.regionOf(left) === topology.regionOf(right);
   }
 
-  /** Predicate over nodes for {@link mayHold}. */
+  /** Returns a predicate that selects the nodes allowed by {@link mayHold}. */
   holderFilter(allowed: AllowedRegions): MayHold {
     return (node) => this.mayHold(node, allowed);
   }
--- a/src/placement/permit-granter.ts
+++ b/src/placement/permit-granter.ts
@@ -19,7 +19,6 @@
 /** Idle time after which a bucket is removed: its permits have expired and it is full again. */
 const BUCKET_LIFETIME: Milliseconds = MINUTE;
 
-/** Options of {@link PermitGranter}. */
 export interface PermitGranterOptions {
   readonly clock: Pick<Clock, 'now'>;
   readonly warmth: WorkerWarmth;
@@ -29,7 +28,7 @@
   /** Longest time for which a coordinator may still treat a lost token as valid. */
   readonly tokenValidity: Milliseconds;
   readonly workerOf: (id: string) => WorkerRecord | undefined;
-  /** What cold workers of a service tolerate; `undefined` where its workers are never cold. */
+  /** Limits for the cold workers of a service; `undefined` where its workers are never cold. */
   readonly coldStartOf: (service: ServiceName) => ColdStart | undefined;
   /** Requests a probe of an unconfirmed worker for which permits were requested. */
   readonly probe: (worker: WorkerRecord) => void;
@@ -45,7 +44,7 @@
 
   constructor(private readonly options: PermitGranterOptions) {}
 
-  /** Reads the fencing token; called periodically, so that the wait starts with its acquisition. */
+  /** Reads the fencing token. Periodic calls start the wait soon after a token is acquired. */
   observe(): GranterState {
     const { clock, fencingToken, tokenValidity } = this.options;
     const token = fencingToken();
@@ -94,8 +93,8 @@
   }
 
   private bucketOf(incarnation: WorkerIncarnation): PermitBucket {
-    const known = this.buckets.get(incarnation);
-    if (known !== undefined) return known;
+    const existing = this.buckets.get(incarnation);
+    if (existing !== undefined) return existing;
     const bucket = new PermitBucket();
     this.buckets.set(incarnation, bucket);
     return bucket;
--- a/src/placement/send-rules.ts
+++ b/src/placement/send-rules.ts
@@ -15,7 +15,7 @@
   | 'worker-cold';
 
 export interface SendRule {
-  /** The reason not to send the worker work of these regions now; `undefined` if there is none. */
+  /** The reason not to send work of these regions to the worker; `undefined` if it may be sent. */
   rejectionOf(worker: WorkerRecord, allowed: AllowedRegions): SendRejection | undefined;
   /**
    * Called right before a request is sent, in the same turn of the event loop in which
--- a/src/placement/stale-evacuation-rule.ts
+++ b/src/placement/stale-evacuation-rule.ts
@@ -8,7 +8,6 @@
 import type { DecisionLog } from '../telemetry/decision-log.js';
 import type { SendRejection, SendRule } from './send-rules.js';
 
-/** Options of {@link StaleEvacuationRule}. */
 export interface StaleEvacuationRuleOptions {
   /** Maximum age of the last contact; `undefined` for no limit. */
   readonly limit: () => Milliseconds | undefined;
@@ -27,7 +26,10 @@
 
   constructor(private readonly options: StaleEvacuationRuleOptions) {}
 
-  /** Whether the list of evacuations is too old to send work. */
+  /**
+   * Whether the list of evacuations is too old for this node to send work; rechecks the age while
+   * blocking.
+   */
   get isStale(): boolean {
     if (this.isBlocking) this.tick();
     return this.isBlocking;
--- a/src/placement/worker-warmth.ts
+++ b/src/placement/worker-warmth.ts
@@ -20,7 +20,7 @@
   | { readonly kind: 'warm' }
   | { readonly kind: 'cold' | 'doubtful'; readonly remaining: Milliseconds };
 
-/** Added to the cold time that a worker reports, for rounding and network delay. */
+/** Margin on the cold time that a worker reports, for rounding and network delay. */
 const COLD_MARGIN: Milliseconds = 100;
 
 const WARM: Warmth = { kind: 'warm' };
@@ -51,7 +51,7 @@
 
   constructor(private readonly clock: Pick<Clock, 'now'>) {}
 
-  /** Call once records of all workers that started before this node are applied. */
+  /** Call when the records of all workers that started before this node are applied. */
   noteListed(): void {
     this.isListed = true;
   }
@@ -125,9 +125,9 @@
   private stateOf(record: WorkerRecord): WorkerState {
     const state = this.workers.get(record.id);
     if (state !== undefined && !isLaterIncarnation(record, state.fields)) return state;
-    const first = this.initialState(record);
-    this.workers.set(record.id, first);
-    return first;
+    const initial = this.initialState(record);
+    this.workers.set(record.id, initial);
+    return initial;
   }
 
   /**
--- a/src/placement/zone-topology.ts
+++ b/src/placement/zone-topology.ts
@@ -28,7 +28,7 @@
     return this.regions.get(zone);
   }
 
-  /** Whether any zone is in a region. */
+  /** Whether any zone is in this region. */
   hasRegion(region: RegionName): boolean {
     return [...this.regions.values()].includes(region);
   }
--- a/src/tenants/tenant.ts
+++ b/src/tenants/tenant.ts
@@ -7,12 +7,12 @@
 
 export interface Tenant {
   readonly name: TenantName;
-  /** Digests of its API keys. */
+  /** Digests of the API keys. */
   readonly keyDigests: readonly SecretDigest[];
-  /** Priority of its requests, 0 the most urgent; `undefined` uses that of the route. */
+  /** Priority of the requests, 0 the most urgent; `undefined` uses that of the route. */
   readonly priority: number | undefined;
   /**
-   * Regions in which its requests may be served and stored; routes may limit further. @default any
+   * Regions in which the requests may be served and stored; routes may limit further. @default any
    */
   readonly allowedRegions?: AllowedRegions;
 }
