--- a/src/serving/active-configuration.ts
+++ b/src/serving/active-configuration.ts
@@ -24,7 +24,6 @@
   retryAfter: CONFIGURATION_RETRY_AFTER,
 });
 
-/** Options of {@link ActiveConfiguration}. */
 export interface ActiveConfigurationOptions {
   readonly log: DecisionLog;
   readonly metrics: FleetMetrics;
@@ -109,7 +108,7 @@
     return this.noteIdentified(caller, requestId, route.name);
   }
 
-  /** The same for a call about a job, which matches no route. */
+  /** The caller of a request about a job, which matches no route, or the failure. */
   identifyJobCaller(
     key: string | undefined,
     host: string,
--- a/src/serving/engine-port.ts
+++ b/src/serving/engine-port.ts
@@ -32,7 +32,7 @@
    * only by missing answers.
    */
   readonly wantsNewConnection?: boolean;
-  /** Regions whose workers may run it. @default any */
+  /** Regions whose workers may run the request. @default any */
   readonly allowedRegions?: AllowedRegions;
 }
 
@@ -64,7 +64,7 @@
 /** The request certainly did not run. */
 export interface EngineRefusal {
   readonly kind: 'not-run';
-  /** `gone`: another worker has the address now; `withheld`: the request was not sent. */
+  /** `gone`: the address now belongs to another worker; `withheld`: the request was not sent. */
   readonly reason: 'full' | 'gone' | 'withheld';
   readonly load: ReportedLoad | undefined;
 }
@@ -105,7 +105,7 @@
   | 'fenced'
   | 'gone'
   | 'refused'
-  /** The worker may carry it out, now or later. */
+  /** Whether the worker may carry out the order, now or later. */
   | 'unknown';
 
 /** A worker's own report of its state. */
--- a/src/serving/event-stream.ts
+++ b/src/serving/event-stream.ts
@@ -6,9 +6,9 @@
 
 /** One complete event. */
 export interface StreamEvent {
-  /** Its number; `undefined` where it carries none. */
+  /** Number of the event; `undefined` where it has none. */
   readonly id: number | undefined;
-  /** Its data lines, joined by line feeds. */
+  /** Data lines, joined by line feeds. */
   readonly data: string;
   /** Weight version from this event on; `undefined` where the event reports no change. */
   readonly weightVersion: WeightVersion | undefined;
--- a/src/serving/exchange-report.ts
+++ b/src/serving/exchange-report.ts
@@ -6,7 +6,6 @@
 import type { Route, ServiceName } from './traffic-configuration.js';
 import type { KnownWorker } from './worker-registry.js';
 
-/** Options of {@link ExchangeReport}. */
 export interface ExchangeReportOptions
   extends Pick<RequestForwarderOptions, 'clock' | 'log' | 'metrics'> {
   readonly request: CallerRequest;
--- a/src/serving/latency-estimate.ts
+++ b/src/serving/latency-estimate.ts
@@ -4,7 +4,7 @@
  */
 import type { Milliseconds } from '../core/units.js';
 
-/** Weight of a new sample in the mean and in the deviation, and deviations above the mean. */
+/** Weights of a new sample, and the number of deviations by which the limit exceeds the mean. */
 const MEAN_GAIN = 1 / 8;
 const DEVIATION_GAIN = 1 / 4;
 const DEVIATIONS = 4;
--- a/src/serving/request-fingerprint.ts
+++ b/src/serving/request-fingerprint.ts
@@ -8,7 +8,7 @@
 /** Hash of a request's content and tenant; the same at all nodes and for all tries. */
 export type RequestFingerprint = string;
 
-/** What identifies a request. */
+/** The parts of a request that identify it. */
 export interface RequestContent {
   readonly method: string;
   readonly host: string;
@@ -22,7 +22,7 @@
 /** Hexadecimal digits of a fingerprint: 128 bits. */
 const FINGERPRINT_DIGITS = 32;
 
-/** HTTP allows this character in none of the parts. */
+/** Separates the parts; HTTP allows this character in none of them. */
 const SEPARATOR = '\u0000';
 
 /** Hashes a request, including its whole body. */
--- a/src/serving/request-forwarder.ts
+++ b/src/serving/request-forwarder.ts
@@ -1,4 +1,4 @@
-/** Forwards requests of callers to workers; `forwarded-exchange.ts` has the rules. */
+/** Forwards callers' requests to workers; `forwarded-exchange.ts` has the retries and hedges. */
 import type { AnswerSink, CallerRequest } from './answer-sink.js';
 import { ForwardedExchange } from './forwarded-exchange.js';
 import type { RequestForwarderOptions } from './forwarding-options.js';
--- a/src/serving/request-quarantine.ts
+++ b/src/serving/request-quarantine.ts
@@ -47,7 +47,6 @@
 /** Who may retry a request: its caller, at any node, or only the current node. */
 export type NextSender = 'any-node' | 'this-node';
 
-/** Options of {@link RequestQuarantine}. */
 export interface RequestQuarantineOptions {
   /** Probes a worker whose connection broke. */
   readonly probeLiveness: (worker: WorkerRecord) => Promise<WorkerLiveness>;
@@ -65,9 +64,9 @@
   private readonly livenessProbes = new Map<WorkerIncarnation, Promise<WorkerLiveness>>();
   /** Crashes under a request that are not yet reported to the other nodes. */
   private readonly unreported = new Map<RequestFingerprint, Set<WorkerIncarnation>>();
-  /** Requests whose quarantine is logged. */
+  /** Prevents a quarantine from being logged more than once. */
   private readonly loggedQuarantines = new Set<RequestFingerprint>();
-  /** Requests to consider for a report when the delay is over. */
+  /** Requests that may be reported when {@link REPORT_DELAY} ends. */
   private readonly pendingReports = new Map<RequestFingerprint, NextSender>();
   private reportTimer: NodeJS.Timeout | undefined;
 
@@ -189,8 +188,8 @@
   /** Probes a worker once for all requests that were on it. */
   private livenessOf(worker: WorkerRecord): Promise<WorkerLiveness> {
     const incarnation = workerIncarnationOf(worker);
-    const known = this.livenessProbes.get(incarnation);
-    if (known !== undefined) return known;
+    const pendingProbe = this.livenessProbes.get(incarnation);
+    if (pendingProbe !== undefined) return pendingProbe;
     const probe = this.probeWorker(worker);
     this.livenessProbes.set(incarnation, probe);
     void probe.then((liveness) => {
--- a/src/serving/route-matcher.ts
+++ b/src/serving/route-matcher.ts
@@ -11,11 +11,11 @@
 
 /** Smooth weighted round robin, as in nginx: shares are exact over each cycle of picks. */
 class WeightedSplit {
-  private readonly credits: number[];
+  private readonly currentWeights: number[];
   private readonly total: number;
 
   constructor(private readonly targets: readonly RouteTarget[]) {
-    this.credits = targets.map(() => 0);
+    this.currentWeights = targets.map(() => 0);
     this.total = targets.reduce((sum, target) => sum + target.weight, 0);
   }
 
@@ -23,11 +23,12 @@
     let best = -1;
     for (const [index, target] of this.targets.entries()) {
       if (target.weight <= 0) continue;
-      this.credits[index] = (this.credits[index] ?? 0) + target.weight;
-      if (best < 0 || (this.credits[index] ?? 0) > (this.credits[best] ?? 0)) best = index;
+      this.currentWeights[index] = (this.currentWeights[index] ?? 0) + target.weight;
+      if (best < 0 || (this.currentWeights[index] ?? 0) > (this.currentWeights[best] ?? 0))
+        best = index;
     }
     if (best < 0) return undefined;
-    this.credits[best] = (this.credits[best] ?? 0) - this.total;
+    this.currentWeights[best] = (this.currentWeights[best] ?? 0) - this.total;
     return this.targets[best]?.service;
   }
 }
@@ -75,8 +76,8 @@
    * Regions in which a tenant's requests on a route may be served and stored; both limits apply.
    */
   allowedRegions(route: Route, tenant: TenantName | undefined): AllowedRegions {
-    const owner = tenant === undefined ? undefined : this.tenants.named(tenant);
-    return allowedByBoth(route.allowedRegions, owner?.allowedRegions);
+    const tenantRecord = tenant === undefined ? undefined : this.tenants.named(tenant);
+    return allowedByBoth(route.allowedRegions, tenantRecord?.allowedRegions);
   }
 
   /** The route of this name; `undefined` where the configuration no longer has it. */
--- a/src/serving/suspension-meter.ts
+++ b/src/serving/suspension-meter.ts
@@ -1,6 +1,6 @@
 /**
- * Measures for how long the machine may have been suspended. The steady clock stops meanwhile, so
- * that a lease would look too fresh.
+ * Measures for how long the machine may have been suspended. The steady clock stops during a
+ * suspension, so that by it alone a lease would appear younger than it is.
  *
  * Node has no access to a clock that includes suspensions, and `os.uptime()` is coarse and reports
  * the host's clock in a time namespace. So the meter takes every gain of the time of day on the
@@ -16,21 +16,21 @@
 const MIN_SUSPENSION: Milliseconds = 100;
 
 export class SuspensionMeter {
-  private lead: Milliseconds;
+  private timeOfDayOffset: Milliseconds;
   private total: Milliseconds = 0;
 
   constructor(
     private readonly steadyTime: () => Milliseconds,
     private readonly timeOfDay: () => Milliseconds,
   ) {
-    this.lead = timeOfDay() - steadyTime();
+    this.timeOfDayOffset = timeOfDay() - steadyTime();
   }
 
-  /** Total of all suspensions so far; never decreases. */
+  /** Total duration of all suspensions so far; never decreases. */
   read(): Milliseconds {
-    const lead = this.timeOfDay() - this.steadyTime();
-    const gained = lead - this.lead;
-    this.lead = lead;
+    const timeOfDayOffset = this.timeOfDay() - this.steadyTime();
+    const gained = timeOfDayOffset - this.timeOfDayOffset;
+    this.timeOfDayOffset = timeOfDayOffset;
     if (gained >= MIN_SUSPENSION) this.total += gained;
     return this.total;
   }
--- a/src/serving/traffic-configuration.ts
+++ b/src/serving/traffic-configuration.ts
@@ -22,7 +22,6 @@
   readonly weight: number;
 }
 
-/** One route. */
 export interface Route {
   readonly name: string;
   readonly host: string;
@@ -38,7 +37,7 @@
   /** Workers that one request may be sent to. */
   readonly maxAttempts: number;
   readonly targets: readonly RouteTarget[];
-  /** Whether callers need no API key on it. */
+  /** Whether callers need no API key on the route. */
   readonly isPublic: boolean;
   /** Whether a broken stream may be resumed at another worker. */
   readonly resumable: boolean;
@@ -48,11 +47,10 @@
   readonly maxQueue: Milliseconds;
   /** Time since submission within which the results of a job are due. */
   readonly resultDeadline: Milliseconds;
-  /** Regions in which its requests may be served and stored. @default any */
+  /** Regions in which the requests may be served and stored. @default any */
   readonly allowedRegions?: AllowedRegions;
 }
 
-/** One service. */
 export interface Service {
   readonly name: ServiceName;
   readonly healthPath: string;
@@ -119,13 +117,13 @@
   /** IP and port. */
   readonly address: string;
   readonly zone: ZoneName;
-  /** Requests that it runs at a time. */
+  /** Requests that the worker runs at a time. */
   readonly slots: number;
-  /** Whether it is about to stop and accepts no new work. */
+  /** Whether the worker is about to stop and accepts no new work. */
   readonly draining: boolean;
   readonly models: readonly HeldModel[];
   /**
-   * How much longer it stays cold, as of the writing of this record; `undefined` where not
+   * How much longer the worker stays cold, as of the writing of this record; `undefined` where not
    * reported.
    */
   readonly coldFor?: Milliseconds | undefined;
--- a/src/serving/worker-registry.ts
+++ b/src/serving/worker-registry.ts
@@ -49,7 +49,7 @@
   private consecutiveFailures = 0;
   private consecutiveRejections = 0;
   private readonly reportedVersions = new Map<ModelName, WeightVersion>();
-  /** Models whose weights the worker loads, and the time at which that information expires. */
+  /** Models whose weights the worker is loading, with the expiry of that information. */
   private readonly loadingUntil = new Map<ModelName, Milliseconds>();
   private load: ReportedLoad | undefined;
   private loadAt: Milliseconds = 0;
@@ -119,12 +119,12 @@
     return Math.max(this.inFlight, this.load.running + this.load.waiting);
   }
 
-  /** Records that the worker loads weights of a model and rejects new requests for it. */
+  /** Records that the worker is loading weights of a model and rejects new requests for it. */
   noteLoading(model: ModelName, until: Milliseconds): void {
     this.loadingUntil.set(model, until);
   }
 
-  /** Whether the worker loads weights of a model. */
+  /** Whether the worker is changing the weights of a model, and so gets no batch items for it. */
   isLoading(model: ModelName, now: Milliseconds): boolean {
     return now < (this.loadingUntil.get(model) ?? 0);
   }
@@ -143,7 +143,11 @@
 }
 
 /**
- * Effect of a record: new worker, same or later incarnation, or a stale record of an earlier one.
+ * Effect of a record on the registry.
+ * - `added`: a new worker, or a known incarnation now in another service
+ * - `updated`: the same incarnation and service
+ * - `restarted`: a later incarnation
+ * - `outdated`: an earlier incarnation; the record is ignored
  */
 export type WorkerChange = 'added' | 'updated' | 'restarted' | 'outdated';
 
@@ -159,20 +163,21 @@
 
   /**
    * Adds a worker or replaces its record. A later incarnation starts as a new worker, without the
-   * versions, event interval, load and penalties of the earlier one; a late record of an earlier
+   * versions, event interval, load and penalties of the earlier one; a delayed record of an earlier
    * incarnation is ignored.
    */
   put(record: WorkerRecord): WorkerChange {
-    const known = this.workers.get(record.id);
-    if (known !== undefined && isLaterIncarnation(known.record, record)) return 'outdated';
-    const isSameIncarnation = known !== undefined && !isLaterIncarnation(record, known.record);
-    if (isSameIncarnation && known.record.service === record.service) {
-      known.record = record;
+    const existing = this.workers.get(record.id);
+    if (existing !== undefined && isLaterIncarnation(existing.record, record)) return 'outdated';
+    const isSameIncarnation =
+      existing !== undefined && !isLaterIncarnation(record, existing.record);
+    if (isSameIncarnation && existing.record.service === record.service) {
+      existing.record = record;
       return 'updated';
     }
     this.remove(record.id);
     this.add(new KnownWorker(record));
-    return known === undefined || isSameIncarnation ? 'added' : 'restarted';
+    return existing === undefined || isSameIncarnation ? 'added' : 'restarted';
   }
 
   private add(worker: KnownWorker): void {
--- a/src/serving/worker-sender.ts
+++ b/src/serving/worker-sender.ts
@@ -21,7 +21,6 @@
   readonly wantsNewConnection?: boolean;
 }
 
-/** Options of {@link WorkerSender}. */
 export interface WorkerSenderOptions extends RequestForwarderOptions {
   readonly request: CallerRequest;
   readonly route: Route;
@@ -54,9 +53,10 @@
     const { caller, host, path } = request;
     const callerTenant = caller.kind === 'tenant' ? caller.tenant : undefined;
     const activeRoutes = routes?.();
-    const owner = callerTenant && (activeRoutes?.tenants.named(callerTenant.name) ?? callerTenant);
+    const tenantRecord =
+      callerTenant && (activeRoutes?.tenants.named(callerTenant.name) ?? callerTenant);
     const { allowedRegions } = activeRoutes?.match(host, path) ?? route;
-    return allowedByBoth(allowedRegions, owner?.allowedRegions);
+    return allowedByBoth(allowedRegions, tenantRecord?.allowedRegions);
   }
 
   /** The failure to answer with before any attempt; `undefined` where the request may be sent. */
@@ -132,7 +132,7 @@
 
   /**
    * Logs that the connection to a worker broke and starts the check for a crash. The fingerprint
-   * relates log lines of several nodes and tries to one request; `othersThere` counts other
+   * links log lines of several nodes and attempts to one request; `othersThere` counts other
    * requests at the worker, `elsewhere` other attempts of this request.
    */
   noteConnectionBroken(worker: KnownWorker): void {
