--- a/test/placement/cold-workers.test.ts
+++ b/test/placement/cold-workers.test.ts
@@ -14,12 +14,12 @@
 /** Time after which a new granter may grant. */
 const GRANTER_WAIT = TOKEN_VALIDITY + MAX_GRANT_TO_SEND_DELAY + 1_000;
 
-/** Gateways that have just seen a cold worker start; the first is the granter, past its wait. */
+/** Gateways that have just read a cold worker's record; the first is the granter, past its wait. */
 function fleet(count: number, record: WorkerRecord = COLD): ColdGateway[] {
   const workers = new Map([[record.id, record]]);
   const gateways = Array.from({ length: count }, () => new ColdGateway(workers));
   const [granter] = gateways;
-  if (granter === undefined) throw new Error('a fleet has gateways');
+  if (granter === undefined) throw new Error('the fleet has no gateway');
   granter.token = 7;
   granter.granter.observe();
   for (const { clock, warmth } of gateways) {
@@ -95,7 +95,7 @@
   requester.send(COLD, 1);
   const sentAt = requester.clock.time;
   const requests = requester.rule.takeRequests();
-  // The granter is suspended for long and does not know yet that another has replaced it.
+  // After a long suspension the granter has not yet detected that another gateway replaced it.
   requester.clock.time += GRANTER_WAIT + 5_000;
   const answer = granter.granter.answer(requests);
   requester.warmth.noteReported(COLD, 3_000, requester.clock.time);
@@ -132,7 +132,7 @@
     after.token = 8;
     const sentAt: number[] = [];
     for (let time = 0; time < GRANTER_WAIT + 3_000; time += 20) {
-      // The old granter notices its loss as late as its token allows.
+      // The previous granter learns that it lost the lock only when its token's validity ends.
       if (time >= TOKEN_VALIDITY) before.token = undefined;
       for (const [index, requester] of requesters.entries()) {
         for (const { warmth, clock } of gateways) warmth.noteReported(COLD, 3_000, clock.time);
--- a/test/placement/job-residency.test.ts
+++ b/test/placement/job-residency.test.ts
@@ -37,8 +37,8 @@
     { ...SCORE_ROUTE, ...limited(score) },
     route({ name: 'other', host: 'other.example', allowedRegions: ['west'] }),
   ];
-  const owner = { name: 'owner', keyDigests: [], priority: undefined, ...limited(tenant) };
-  return new RouteMatcher({ ...configuration(routes), tenants: [owner] });
+  const tenantRecord = { name: 'owner', keyDigests: [], priority: undefined, ...limited(tenant) };
+  return new RouteMatcher({ ...configuration(routes), tenants: [tenantRecord] });
 }
 
 function residencyOf(limits: Limits, own = 'north-1', zones = REGIONS): JobResidency {
@@ -140,17 +140,17 @@
       ...{ liveNodes: () => live, capacityOf: () => 1, clock },
       localities: localities && { ...localities, zoneOf },
     });
-    const reached: string[] = [];
+    const requestedNodes: string[] = [];
     const calls = {
       request: async (node: string) => {
-        reached.push(node);
+        requestedNodes.push(node);
         const kind = fleet.outcomes.next().value;
         if (kind === 'refused' || kind === 'silent') return { kind };
         const failure = kind === 'taken' ? undefined : { kind: 'ledger_unavailable' };
         return { kind: 'answered', answer: { failure } };
       },
       isAlive: async (node: string) => {
-        reached.push(node);
+        requestedNodes.push(node);
         return fleet.outcomes.next().value !== 'silent';
       },
       canReachStore: async () => true,
@@ -172,7 +172,7 @@
     const path = await router.route(spec);
     const isKeptInside = path.kind !== 'here' || isInside('node-0');
     const canBeOwned = isAnyInside === owners.length > 0;
-    return [...reached, ...owners].every(isInside) && isKeptInside && canBeOwned;
+    return [...requestedNodes, ...owners].every(isInside) && isKeptInside && canBeOwned;
   });
   await fc.assert(property, { numRuns: 1_000 });
   t.pass('over generated topologies, limits and live nodes');
--- a/test/placement/worker-warmth.test.ts
+++ b/test/placement/worker-warmth.test.ts
@@ -1,4 +1,7 @@
-/** A worker counts as warm while its record, a probe or the return of its zone says otherwise. */
+/**
+ * A worker counts as warm although its record, a probe or the return of its zone indicates that it
+ * may be cold.
+ */
 import t from 'tap';
 import { WorkerWarmth } from '../../src/placement/worker-warmth.js';
 import { ManualClock } from '../jobs/job-fixtures.js';
@@ -53,11 +56,11 @@
     const clock = new ManualClock();
     const warmth = new WorkerWarmth(clock);
     warmth.noteListed();
-    const unreported = worker('w1');
-    warmth.noteRecord(unreported);
+    const withoutColdTime = worker('w1');
+    warmth.noteRecord(withoutColdTime);
     clock.time += 2_900;
-    t.equal(warmth.of(unreported, COLD_START).kind, 'doubtful');
+    t.equal(warmth.of(withoutColdTime, COLD_START).kind, 'doubtful');
     clock.time += 300;
-    t.equal(warmth.of(unreported, COLD_START).kind, 'warm');
+    t.equal(warmth.of(withoutColdTime, COLD_START).kind, 'warm');
   },
 );
--- a/test/placement/zone-return.test.ts
+++ b/test/placement/zone-return.test.ts
@@ -1,6 +1,6 @@
 /**
  * When a zone returns with cold workers while the others are overloaded, all gateways prefer its
- * idle workers, which crash under the load again and again.
+ * idle workers, which crash under the load repeatedly.
  */
 import t from 'tap';
 import { HARD_BOUND } from './cold-fleet.js';
--- a/test/placement/zone-return.ts
+++ b/test/placement/zone-return.ts
@@ -1,7 +1,6 @@
 /**
- * Simulates the return of a zone with cold workers while the other zones are overloaded; meanwhile
- * one gateway is suspended and the permit granter is killed. Time advances in fixed steps; nothing
- * is random.
+ * Simulates the return of a zone of cold workers while the others are overloaded, one gateway is
+ * suspended and the granter is killed.
  */
 import type { Milliseconds } from '../../src/core/units.js';
 import { type SendRule, SendRules } from '../../src/placement/send-rules.js';
@@ -32,7 +31,7 @@
 const ZONES = ['zone-1', 'zone-2', 'zone-3', 'zone-4'];
 const WORKERS_OF_ZONE = 8;
 const SLOTS = 6;
-const GATEWAYS = 4;
+const GATEWAY_COUNT = 4;
 const WORK: Milliseconds = 300;
 const ON_TIME_LIMIT: Milliseconds = 600;
 const LONG_WAIT: Milliseconds = 100;
@@ -83,7 +82,7 @@
   private readonly workers: Worker[] = [];
   private readonly gateways: ColdGateway[];
   private readonly rules: SendRules[];
-  private readonly nextRequestAt = Array.from({ length: GATEWAYS }, () => 0);
+  private readonly nextRequestAt = Array.from({ length: GATEWAY_COUNT }, () => 0);
   private answers: PermitsInFlight[] = [];
   private readonly outcome: ReturnOutcome = {
     ...{ servedInTime: 0, servedLate: 0, waited: 0, refused: 0 },
@@ -102,7 +101,7 @@
         this.workers.push(new Worker(record, coldUntil, isAway ? RETURN_AT : 0));
       }
     }
-    this.gateways = Array.from({ length: GATEWAYS }, () => new ColdGateway(records));
+    this.gateways = Array.from({ length: GATEWAY_COUNT }, () => new ColdGateway(records));
     this.rules = this.gateways.map((gateway, index) => new SendRules(this.rulesOf(gateway, index)));
     this.startGateways();
   }
@@ -113,7 +112,7 @@
     return [new SharedRate(gateway, `g${index}`, () => this.visibleGateways())];
   }
 
-  /** All gateways have run for long, and the first is the granter. */
+  /** Puts all gateways in a steady state, long after their start, with the first as the granter. */
   private startGateways(): void {
     for (const [index, gateway] of this.gateways.entries()) {
       if (index === GRANTER) gateway.token = 1;
@@ -172,8 +171,8 @@
   }
 
   private updateGranter(): void {
-    const next = this.gateways[GRANTER + 1];
-    if (this.now === NEXT_GRANTER_AT && next !== undefined) next.token = 2;
+    const successor = this.gateways[GRANTER + 1];
+    if (this.now === NEXT_GRANTER_AT && successor !== undefined) successor.token = 2;
     for (const [index, gateway] of this.gateways.entries()) {
       if (this.isUp(index)) gateway.granter.observe();
     }
@@ -181,18 +180,18 @@
 
   private acceptRequests(): void {
     for (let count = 0; count < REQUESTS_PER_STEP; count += 1) {
-      const first = this.arrived % GATEWAYS;
+      const gatewayInTurn = this.arrived % GATEWAY_COUNT;
       this.arrived += 1;
-      const gateway = this.isAlive(first) ? first : first + 1;
+      const gateway = this.isAlive(gatewayInTurn) ? gatewayInTurn : gatewayInTurn + 1;
       this.waiting.push({ arrivedAt: this.now, gateway });
     }
   }
 
   private finishWork(): void {
     for (const worker of this.workers) {
-      const done = worker.running.filter(({ endsAt }) => endsAt <= this.now);
+      const finished = worker.running.filter(({ endsAt }) => endsAt <= this.now);
       worker.running = worker.running.filter(({ endsAt }) => endsAt > this.now);
-      for (const { request } of done) {
+      for (const { request } of finished) {
         if (this.now - request.arrivedAt <= ON_TIME_LIMIT) this.outcome.servedInTime += 1;
         else this.outcome.servedLate += 1;
       }
--- a/test/serving/evacuated-zone.test.ts
+++ b/test/serving/evacuated-zone.test.ts
@@ -1,4 +1,4 @@
-/** Retries, hedges and resumed streams go to workers of a zone that is being evacuated. */
+/** Retries, hedges and resumed streams avoid the workers of a zone that is being evacuated. */
 import { Readable } from 'node:stream';
 import t from 'tap';
 import { SendRules } from '../../src/placement/send-rules.js';
@@ -24,7 +24,7 @@
   worker,
 } from './serving-fixtures.js';
 
-interface Forwarded {
+interface ForwardResult {
   readonly sink: RecordingSink;
   readonly sentTo: readonly string[];
 }
@@ -33,7 +33,7 @@
  * Forwards one request; the first send starts the evacuation of zone-1 with two of the three
  * workers.
  */
-async function forward(scripts: Script[], fields: Partial<Route> = {}): Promise<Forwarded> {
+async function forward(scripts: Script[], fields: Partial<Route> = {}): Promise<ForwardResult> {
   const evacuations = new ZoneEvacuations();
   const registry = new WorkerRegistry(new SendRules([evacuations]));
   registry.put(worker('near-1'));
@@ -84,7 +84,7 @@
 t.test('a broken stream is resumed in another zone', async (t) => {
   const chunks = async function* (): AsyncGenerator<Buffer> {
     yield Buffer.from(events(0, 'ab'));
-    throw new Error('reset');
+    throw new Error('connection reset');
   };
   const broken = answer('', { body: Readable.from(chunks()), isStream: true });
   const resumed = answer(events(2, 'c'), { isStream: true });
--- a/test/serving/read-chunks.test.ts
+++ b/test/serving/read-chunks.test.ts
@@ -11,7 +11,7 @@
   const broken = new PassThrough();
   const read = readWhole(broken);
   broken.write('half');
-  broken.destroy(new Error('reset'));
+  broken.destroy(new Error('connection reset'));
   t.equal(await read, undefined);
   const closed = new PassThrough();
   const other = readChunks(closed, () => true);
--- a/test/serving/regional-requests.test.ts
+++ b/test/serving/regional-requests.test.ts
@@ -32,7 +32,7 @@
   ]),
 );
 
-interface Forwarded {
+interface ForwardResult {
   readonly sink: RecordingSink;
   readonly zones: readonly string[];
   readonly lines: readonly string[];
@@ -43,7 +43,7 @@
   workerZones: readonly string[],
   fields: Partial<Route>,
   tenantRegions?: readonly string[],
-): Promise<Forwarded> {
+): Promise<ForwardResult> {
   const registry = new WorkerRegistry(new SendRules([new ResidencyRule(TOPOLOGY)]));
   for (const zone of workerZones) registry.put(worker(`w-${zone}`, { zone }));
   const engine = new ScriptedEngine([answer('done')]);
--- a/test/serving/request-forwarder.test.ts
+++ b/test/serving/request-forwarder.test.ts
@@ -119,8 +119,8 @@
 t.test('a failure status does not clear the evidence against a request', async (t) => {
   const registry = new WorkerRegistry();
   for (const id of ['w1', 'w2', 'w3', 'w4', 'w5']) registry.put(worker(id));
-  const late = answer('', { status: 504 });
-  const engine = new ScriptedEngine([BROKEN, BROKEN, late, BROKEN, answer('reply')]);
+  const timeoutAnswer = answer('', { status: 504 });
+  const engine = new ScriptedEngine([BROKEN, BROKEN, timeoutAnswer, BROKEN, answer('reply')]);
   const forwarder = new RequestForwarder({
     engine,
     versionField: VERSION_FIELD,
@@ -294,9 +294,13 @@
 
 t.test("a tenant's priority overrides the route's", async (t) => {
   const caller = { kind: 'tenant', tenant: NORTH } as const;
-  const own = await forward([answer('one')], { priority: 4 }, { caller });
-  t.match(own.engine.requests[0], { tenant: 'north', priority: 2 });
+  const withPriority = await forward([answer('one')], { priority: 4 }, { caller });
+  t.match(withPriority.engine.requests[0], { tenant: 'north', priority: 2 });
   const tenant = { ...NORTH, priority: undefined };
-  const none = await forward([answer('one')], { priority: 4 }, { caller: { ...caller, tenant } });
-  t.equal(none.engine.requests[0]?.priority, 4);
+  const withoutPriority = await forward(
+    [answer('one')],
+    { priority: 4 },
+    { caller: { ...caller, tenant } },
+  );
+  t.equal(withoutPriority.engine.requests[0]?.priority, 4);
 });
--- a/test/serving/request-quarantine.test.ts
+++ b/test/serving/request-quarantine.test.ts
@@ -178,7 +178,7 @@
 t.test('a request without evidence is not hashed', async (t) => {
   const fixture = new Fixture();
   const request = new FingerprintedRequest(() => {
-    throw new Error('the fingerprint was computed');
+    throw new Error('the fingerprint was computed without evidence');
   });
   t.ok(fixture.quarantine.admits(request));
   t.equal(fixture.quarantine.refusalOf(request), undefined);
--- a/test/serving/serving-fixtures.ts
+++ b/test/serving/serving-fixtures.ts
@@ -107,7 +107,7 @@
 export function brokenAnswer(body: string, fields: Partial<EngineAnswer> = {}): EngineAnswer {
   const chunks = async function* (): AsyncGenerator<Buffer> {
     yield Buffer.from(body);
-    throw new Error('reset');
+    throw new Error('connection reset');
   };
   return answer('', { body: Readable.from(chunks()), ...fields });
 }
@@ -158,7 +158,7 @@
         signal.removeEventListener('abort', cancel);
         // As with a real worker, cancelling the request aborts its answer.
         const abortAnswer = (): void => {
-          if (script.kind === 'answered') script.body.destroy(new Error('cancelled'));
+          if (script.kind === 'answered') script.body.destroy(new Error('request cancelled'));
         };
         signal.addEventListener('abort', abortAnswer);
         resolve(script);
--- a/test/serving/suspension-meter.test.ts
+++ b/test/serving/suspension-meter.test.ts
@@ -2,7 +2,7 @@
 import { PROCESS_CLOCK } from '../../src/serving/clock.js';
 import { SuspensionMeter } from '../../src/serving/suspension-meter.js';
 
-/** Two manual clocks. */
+/** A steady clock and a time of day that the test advances, and a meter that reads them. */
 class Clocks {
   steady = 1_000;
   wall = 1_700_000_000_000;
