--- a/src/fleet/cold-workers.ts
+++ b/src/fleet/cold-workers.ts
@@ -49,7 +49,7 @@
   readonly tolerance: ColdTolerance | undefined;
   readonly registry: () => WorkerRegistry;
   readonly services: () => readonly Service[];
-  /** The coordinator, as far as this node knows. */
+  /** The coordinator according to this node's cached state. */
   readonly coordinator: () => NodeId | undefined;
   readonly fencingToken: () => Revision | undefined;
   /** Requests permits from another node; `undefined` if it did not answer in time. */
@@ -67,7 +67,7 @@
 
 /** Tracks cold workers, and requests and grants permits to send to them. */
 export class ColdWorkers {
-  /** Applies to every request that this node sends. */
+  /** Rule that applies to every request that this node sends. */
   readonly rule: ColdWorkerRule;
   private readonly warmth: WorkerWarmth;
   private readonly granter: PermitGranter;
@@ -105,13 +105,13 @@
     this.warmth.noteRecord(record);
   }
 
-  /** The initial list of workers is complete. */
+  /** Called once the initial list of workers is complete. */
   noteListed(): void {
     this.isListed = true;
     this.warmth.noteListed();
   }
 
-  /** The evacuation of a zone ended; its workers may have become cold meanwhile. */
+  /** Called when the evacuation of a zone ends; its workers may have become cold meanwhile. */
   noteEvacuationEnded(zone: ZoneName): void {
     const workers = this.workersWithColdStart().filter((worker) => worker.zone === zone);
     for (const worker of workers) this.warmth.markUnconfirmed(worker);
@@ -222,9 +222,9 @@
   private requestSomeStatus(): Promise<void> {
     const workers = this.workersWithColdStart();
     if (this.isRequestPending || workers.length === 0) return Promise.resolve();
-    const first = this.nextStatusIndex % workers.length;
-    const rotated = [...workers.slice(first), ...workers.slice(0, first)];
-    this.nextStatusIndex = first + MAX_WORKERS_PER_STATUS_REQUEST;
+    const startIndex = this.nextStatusIndex % workers.length;
+    const rotated = [...workers.slice(startIndex), ...workers.slice(0, startIndex)];
+    this.nextStatusIndex = startIndex + MAX_WORKERS_PER_STATUS_REQUEST;
     const requests = rotated.slice(0, MAX_WORKERS_PER_STATUS_REQUEST).map((worker) => ({
       worker: worker.id,
       life: workerIncarnationOf(worker),
--- a/src/fleet/coordination.ts
+++ b/src/fleet/coordination.ts
@@ -22,7 +22,6 @@
 
 const EXPIRED_REMOVAL_INTERVAL: Milliseconds = 60_000;
 
-/** Options of {@link Coordination}. */
 export interface CoordinationOptions {
   readonly node: GatewayNodeOptions;
   readonly self: JobOwner;
@@ -33,7 +32,7 @@
   readonly configuration: ActiveConfiguration;
   /** Whether a zone is evacuated, so that its workers receive no work. */
   readonly isEvacuated: (zone: ZoneName) => boolean;
-  /** The zones or regions that serve their own callers; `undefined` where any node serves any caller. */
+  /** The zones or regions that serve their own callers; `undefined` if all nodes serve all. */
   readonly localities: Localities | undefined;
   /** Whether a storage node holds no data that is durable only there. */
   readonly isStorageEmpty: (node: NodeId) => Promise<boolean>;
@@ -87,7 +86,7 @@
     });
   }
 
-  /** The coordinator, as far as this node knows. */
+  /** The coordinator according to this node's cached state. */
   get holder(): NodeId | undefined {
     return this.lock.holder;
   }
--- a/src/fleet/coordinator-lock.ts
+++ b/src/fleet/coordinator-lock.ts
@@ -27,7 +27,7 @@
 
 const LOCK_RECORD = z.object({ node: z.string(), address: z.string(), nonce: z.string() });
 
-/** The current or the last holder of the lock. */
+/** A holder of the lock, as stored in the lock record. */
 type LockRecord = z.infer<typeof LOCK_RECORD>;
 
 /** Delay per rank before a node tries to acquire a free lock. */
@@ -45,10 +45,9 @@
 /** Time during which a node that resigned does not try to acquire the lock. */
 const RESIGNED_BACKOFF: Milliseconds = 3_000;
 
-/** Added to the minimum time between two holders' orders, as messages take some time. */
+/** Allowance for message latency, added to the minimum time between two holders' orders. */
 const TRANSFER_MARGIN: Milliseconds = 100;
 
-/** Options of {@link CoordinatorLock}. */
 export interface CoordinatorLockOptions {
   readonly store: SharedStore;
   readonly fleet: FleetRegistry;
@@ -62,7 +61,7 @@
   readonly areTokensChecked: () => boolean;
 }
 
-/** Acquires the lock when it is free, and tells whether this node may give orders. */
+/** Acquires the lock when it is free, and reports whether this node may give orders. */
 export class CoordinatorLock implements SingletonTaskLock {
   private currentLock: LockRecord | undefined;
   private lockRevision: Revision = ABSENT;
@@ -79,7 +78,10 @@
   private nextAttemptAt: Milliseconds = 0;
   private isAcquiring = false;
   private ordersInFlight = 0;
-  /** An earlier incarnation of this node may have given orders until this one started. */
+  /**
+   * Time at which the last order of this node ended; initially its start time, because an earlier
+   * incarnation may have given orders until then.
+   */
   private lastOrderEndedAt: Milliseconds;
   /** The nonce of a holder that resigned or terminated, though its lease may still be valid. */
   private abandonedNonce: string | undefined;
@@ -93,7 +95,7 @@
     });
   }
 
-  /** The holder of the lock, as far as this node knows. */
+  /** The node that holds the lock according to the last change received. */
   get holder(): NodeId | undefined {
     return this.currentLock?.node;
   }
@@ -160,7 +162,7 @@
     if (this.ownNonce !== undefined && token === this.token) this.loseLock();
   }
 
-  /** Tries to acquire the lock once it has been free for this node's turn. */
+  /** Tries to acquire the lock once it has been free for the delay of this node's rank. */
   tick(): void {
     const { fleet, clock } = this.options;
     if (!this.isFleetListed || this.isAcquiring || clock.now() < this.nextAttemptAt) return;
@@ -233,7 +235,7 @@
     const revision =
       outcome.kind === 'committed' ? outcome.revision : await this.resolveUnconfirmedCommit(nonce);
     if (revision === undefined) return;
-    // There is no wait if no other node gave orders since this one did.
+    // No wait is needed if no other node can have given orders since this one did.
     const mayActAtOnce = termRevision === ABSENT || this.isThisNode(lastHolder);
     this.lastHolder = record;
     this.termRevision = revision;
@@ -264,8 +266,8 @@
   }
 
   /**
-   * Where workers check tokens, orders of a previous holder that has not learned of its loss do no
-   * harm; elsewhere it may give orders until its last lease renewal is too old.
+   * Returns the wait after a change of holder. If workers do not check tokens, the previous holder
+   * may still give orders until its last lease renewal is too old.
    */
   private maxTransferDelay(): Milliseconds {
     const { transferDelay, areTokensChecked } = this.options;
--- a/src/fleet/crash-reports.ts
+++ b/src/fleet/crash-reports.ts
@@ -21,7 +21,7 @@
 /** Crash records are stored under the prefix of the fleet. */
 const CRASH_PREFIX = 'fleet/worker-end/';
 
-/** The first attempt may hang on a stalled connection. */
+/** More than one, because the first attempt may hang on a stalled connection. */
 const NOTIFY_ATTEMPTS = 3;
 
 /**
@@ -50,7 +50,6 @@
   readonly revision: Revision;
 }
 
-/** Options of {@link CrashReports}. */
 export interface CrashReportsOptions {
   readonly store: SharedStore;
   readonly self: NodeId;
@@ -81,7 +80,7 @@
 
   constructor(private readonly options: CrashReportsOptions) {}
 
-  /** Tries for a limited time to store what is unsaved, then stops. */
+  /** Tries for a limited time to store the unsaved reports, then stops. */
   async flush(): Promise<void> {
     this.retryNow();
     await Promise.race([this.pendingSave, this.options.clock.sleep(FLUSH_TIMEOUT)]);
--- a/src/fleet/direct-prefixes.ts
+++ b/src/fleet/direct-prefixes.ts
@@ -44,7 +44,6 @@
   return Math.min(wait, Math.ceil(WATCH_SHARE * bound.changeBound()));
 }
 
-/** Options of {@link DirectPrefixes}. */
 export interface DirectPrefixesOptions extends ChangeBound {
   readonly store: Pick<SharedStore, 'range' | 'watch'>;
   /**
@@ -146,7 +145,6 @@
     }
   }
 
-  /** Answers a follower's list. */
   answerList(request: PeerRequestOf<'list-prefix'>): PeerAnswers['list-prefix'] {
     const watch = this.watches.get(request.prefix);
     if (watch === undefined || !this.isCurrent(watch)) return { isCurrent: false };
--- a/src/fleet/due-changes.ts
+++ b/src/fleet/due-changes.ts
@@ -44,25 +44,25 @@
 ): PendingChange[] {
   const { model, version, required } = target;
   const behind = holders.filter((worker) => worker.versionOf(model) < version);
-  const changing = behind.filter(isChanging).length;
-  const updated = holders.length - behind.length + changing;
+  const changingCount = behind.filter(isChanging).length;
+  const updatedOrChangingCount = holders.length - behind.length + changingCount;
   const isUnusable = (worker: KnownWorker): boolean => {
-    const held = worker.versionOf(model);
-    return held < required || version - held > MAX_USABLE_LAG;
+    const heldVersion = worker.versionOf(model);
+    return heldVersion < required || version - heldVersion > MAX_USABLE_LAG;
   };
   const isWaiting = (worker: KnownWorker): boolean => !isChanging(worker);
-  let usable =
+  let usableCount =
     holders.length - behind.filter((worker) => isUnusable(worker) && isWaiting(worker)).length;
   const changes: PendingChange[] = [];
-  let remaining = Math.ceil(holders.length * IMMEDIATE_SHARE) - updated;
+  let remainingImmediate = Math.ceil(holders.length * IMMEDIATE_SHARE) - updatedOrChangingCount;
   const byLag = [...behind].sort((a, b) => a.versionOf(model) - b.versionOf(model));
   for (const worker of byLag) {
     if (isChanging(worker)) continue;
     const isUnusableNow = isUnusable(worker);
-    if (!isUnusableNow && mayWait && remaining <= 0) continue;
-    remaining -= 1;
-    const usableShare = isUnusableNow ? usable / holders.length : 1;
-    if (isUnusableNow) usable += 1;
+    if (!isUnusableNow && mayWait && remainingImmediate <= 0) continue;
+    remainingImmediate -= 1;
+    const usableShare = isUnusableNow ? usableCount / holders.length : 1;
+    if (isUnusableNow) usableCount += 1;
     changes.push({ worker, model, version, usableShare });
   }
   return changes;
--- a/src/fleet/fleet-feeds.ts
+++ b/src/fleet/fleet-feeds.ts
@@ -33,7 +33,7 @@
    */
   | { readonly kind: 'zone-evacuated'; readonly zone: ZoneName }
   | { readonly kind: 'zone-returned'; readonly zone: ZoneName }
-  /** A record that cannot be parsed; the previous one stays in force. */
+  /** A record that cannot be parsed; the previous record remains in use. */
   | { readonly kind: 'unreadable'; readonly key: string };
 
 /** Keys and formats of the records. */
@@ -46,7 +46,6 @@
   translate(change: StoreChange): FleetEvent | undefined;
 }
 
-/** Options of {@link FleetFeeds}. */
 export interface FleetFeedsOptions {
   readonly store: SharedStore;
   readonly translation: FeedTranslation;
--- a/src/fleet/fleet-peers.ts
+++ b/src/fleet/fleet-peers.ts
@@ -37,7 +37,7 @@
 
 const KEPT_WORK_TIMEOUT: Milliseconds = 120;
 /**
- * In addition to the requested wait: the owner may have the store confirm that no result is listed.
+ * Added to the requested wait: the owner may read the store to confirm that it lists no result.
  */
 const RESULTS_TIMEOUT: Milliseconds = 700;
 const TAKE_JOB_TIMEOUT: Milliseconds = 600;
@@ -49,17 +49,16 @@
 /** Time for the answer, in addition to a limit that is part of the request. */
 const ANSWER_MARGIN: Milliseconds = 200;
 
-/** Nodes that are queried about a job before the store is read. */
+/** Number of nodes that are queried about a job before the store is read. */
 const LIKELY_OWNER_COUNT = 2;
 const LIKELY_OWNER_COUNT_BY_ZONE = 3;
 
-/** Nodes to which a released job is offered, one after the other. */
+/** Number of nodes to which a released job is offered, one after the other. */
 const MAX_TRANSFER_OFFERS = 2;
 
-/** Time for a node to read a job's head record and write it. */
+/** Covers a read and a write of the job's head record by the other node. */
 const TAKEOVER_TIMEOUT: Milliseconds = 600;
 
-/** Options of {@link FleetPeers}. */
 export interface FleetPeersOptions {
   readonly port: PeerPort;
   readonly fleet: FleetRegistry;
@@ -155,13 +154,15 @@
   private otherOwners(job: string, allowed?: AllowedRegions): JobOwner[] {
     const { fleet, placement, self } = this.options;
     const inOrder = placement.ownersOf(job, undefined, this.residency.holderFilter(allowed));
-    const others = inOrder.filter((node) => node !== self.node);
-    return others.map((node) => fleet.incarnationOf(node)).filter((owner) => owner !== undefined);
+    const otherNodes = inOrder.filter((node) => node !== self.node);
+    return otherNodes
+      .map((node) => fleet.incarnationOf(node))
+      .filter((owner) => owner !== undefined);
   }
 
   /**
-   * The owner and the next node in order, both of this region where regions run their own jobs; one
-   * node in each of three zones where zones do.
+   * Number of nodes to query about a job: two (the owner and the next in order), or three if each
+   * zone runs its own jobs.
    */
   private get likelyOwnerCount(): number {
     return this.options.placement.isByZone ? LIKELY_OWNER_COUNT_BY_ZONE : LIKELY_OWNER_COUNT;
@@ -258,9 +259,13 @@
     ownerAnswers: boolean,
   ): Promise<boolean> {
     if (owner === null) {
-      const released = { kind: 'take-job', job } as const;
-      const taken = await this.requester.request<'take-job'>(node, released, TAKE_JOB_TIMEOUT);
-      return taken?.kind === 'answered' && taken.answer.isTaken;
+      const takeRequest = { kind: 'take-job', job } as const;
+      const takeOutcome = await this.requester.request<'take-job'>(
+        node,
+        takeRequest,
+        TAKE_JOB_TIMEOUT,
+      );
+      return takeOutcome?.kind === 'answered' && takeOutcome.answer.isTaken;
     }
     const request = { kind: 'adopt-job', job, owner, ownerAnswers } as const;
     const outcome = await this.requester.request<'adopt-job'>(node, request, TAKEOVER_TIMEOUT);
@@ -295,7 +300,7 @@
     }
   }
 
-  /** Reports to the coordinator what workers started to run for this node. */
+  /** Reports to the coordinator the requests that workers started for this node. */
   async reportUsage(holder: NodeId, source: UsageSource, counts: WindowCounts): Promise<boolean> {
     const request = { kind: 'usage-counts', source, counts } as const;
     const outcome = await this.requester.request<'usage-counts'>(holder, request, USAGE_TIMEOUT);
@@ -335,9 +340,9 @@
   return read !== undefined && 'kind' in read && read.kind === 'region_unavailable';
 }
 
-/** Whether one node's work on an item is further along than another's. */
-function hasMoreProgress(one: DigestedWork, other: DigestedWork | undefined): boolean {
-  return other === undefined || progressOf(one) > progressOf(other);
+/** Whether one node has made more progress on an item than another. */
+function hasMoreProgress(candidate: DigestedWork, other: DigestedWork | undefined): boolean {
+  return other === undefined || progressOf(candidate) > progressOf(other);
 }
 
 function progressOf({ work }: DigestedWork): number {
--- a/src/fleet/fleet-registry.ts
+++ b/src/fleet/fleet-registry.ts
@@ -62,7 +62,6 @@
   readonly cause: 'replaced' | 'lease-over';
 }
 
-/** Options of {@link FleetRegistry}. */
 export interface FleetRegistryOptions {
   readonly store: SharedStore;
   readonly self: JobOwner;
@@ -178,7 +177,7 @@
     if (this.lease !== NO_LEASE) await this.options.store.revokeLease(this.lease);
   }
 
-  /** Whether an incarnation of a node is live, as far as this node knows. */
+  /** Whether an incarnation of a node is live according to this node's membership list. */
   isLive(owner: JobOwner): boolean {
     return this.live.get(owner.node)?.incarnation === owner.incarnation;
   }
--- a/src/fleet/format-versions.ts
+++ b/src/fleet/format-versions.ts
@@ -28,8 +28,8 @@
 
   /** Records that a node's record was removed. */
   noteExpired(node: string, now: Milliseconds): void {
-    const known = this.nodes.get(node);
-    if (known !== undefined) known.expiredAt = now;
+    const nodeFormat = this.nodes.get(node);
+    if (nodeFormat !== undefined) nodeFormat.expiredAt = now;
   }
 
   /** Records that all live nodes are known. */
@@ -43,7 +43,8 @@
   isReadByAll(format: FormatVersion, now: Milliseconds): boolean {
     if (!this.isListed) return false;
     return [...this.nodes.values()].every(
-      (known) => known.format >= format || now - known.expiredAt > EXPIRED_NODE_RETENTION,
+      (nodeFormat) =>
+        nodeFormat.format >= format || now - nodeFormat.expiredAt > EXPIRED_NODE_RETENTION,
     );
   }
 }
--- a/src/fleet/gateway-node.ts
+++ b/src/fleet/gateway-node.ts
@@ -46,7 +46,6 @@
 import { WorkerRoster } from './worker-roster.js';
 import { ZoneAutonomy } from './zone-autonomy.js';
 
-/** Time between two ticks. */
 const TICK_INTERVAL: Milliseconds = 50;
 
 /** Time between two ticks while this node runs no jobs and is not the coordinator. */
@@ -262,7 +261,6 @@
     });
   }
 
-  /** Joins the fleet. */
   start(): void {
     void this.fleet.start().then(() => this.feeds.start());
     this.monitor.start();
--- a/src/fleet/gateway-options.ts
+++ b/src/fleet/gateway-options.ts
@@ -29,8 +29,8 @@
 }
 
 /**
- * Factor of `changeBound` within which a connected node hears from the store or a relay, also if
- * one of its relays fails.
+ * Factor of `changeBound` within which a connected node receives an answer from the store or a
+ * relay, even if one of its relays fails.
  */
 const MAX_CONTACT_GAP_FACTOR = 1.5;
 
@@ -61,7 +61,6 @@
   readonly clock: Clock;
   readonly log: DecisionLog;
   readonly metrics: FleetMetrics;
-  /** The time limits in force. */
   readonly timings: () => FleetTimings;
   readonly storageDrains: StorageDrainPort;
   /** Processor share of this machine, in cores of reference speed. @default 1 */
--- a/src/fleet/gateway-process.ts
+++ b/src/fleet/gateway-process.ts
@@ -17,7 +17,7 @@
   readonly server: IngressServer;
   readonly clock: Clock;
   readonly log: DecisionLog;
-  /** The settings in force; read once during a stop. */
+  /** The current settings; read once during a stop. */
   readonly timings: () => FleetTimings;
   readonly exit: () => void;
 }
--- a/src/fleet/job-placement.ts
+++ b/src/fleet/job-placement.ts
@@ -1,5 +1,5 @@
 /**
- * Selects the nodes that run jobs. A few nodes, by rendezvous hash among the strongest machines,
+ * Selects the nodes that run jobs. A few nodes, by rendezvous hash among the largest machines,
  * own all jobs: few nodes then track the load of the workers, connections to workers are reused,
  * and any node finds the owner of a job by its id without a read of the store.
  *
@@ -34,7 +34,7 @@
 const NODES_PER_OWNER = 40;
 
 /**
- * Minimum share of the strongest machine's capacity at which a machine is preferred as an owner.
+ * Minimum share of the largest machine's capacity at which a machine is preferred as an owner.
  */
 const MIN_CAPACITY_SHARE = 0.75;
 
@@ -93,8 +93,8 @@
       const owners = this.selectOwners(this.responsiveNodes().filter(mayOwn), MIN_OWNERS);
       return rendezvousOrder(job, owners, (node) => node);
     }
-    const first = zone === undefined ? localities.own : localities.of(zone);
-    return this.localitiesBeginningWith(first).flatMap((name) =>
+    const firstLocality = zone === undefined ? localities.own : localities.of(zone);
+    return this.localitiesBeginningWith(firstLocality).flatMap((name) =>
       this.candidatesIn(name, job).filter(mayOwn),
     );
   }
@@ -108,10 +108,12 @@
     const { localities } = this.options;
     if (localities === undefined) return this.ownersOf(job, undefined, mayOwn).slice(0, MAX_OFFERS);
     const local = this.candidatesIn(localities.own, job);
-    const own = local.slice(0, MAX_OFFERS);
-    if (localities.kind === 'zone') return own;
-    const others = this.ownersOf(job, undefined, mayOwn).filter((node) => !local.includes(node));
-    return [...own, ...others.slice(0, 1)];
+    const ownTargets = local.slice(0, MAX_OFFERS);
+    if (localities.kind === 'zone') return ownTargets;
+    const otherOwners = this.ownersOf(job, undefined, mayOwn).filter(
+      (node) => !local.includes(node),
+    );
+    return [...ownTargets, ...otherOwners.slice(0, 1)];
   }
 
   /**
@@ -160,8 +162,8 @@
     const inOrder = rendezvousOrder(job, owners, (node) => node);
     if (this.isByZone) return inOrder;
     const extended = this.ownersIn(locality, owners.length + 1);
-    const [next] = extended.filter((node) => !owners.includes(node));
-    return next === undefined ? inOrder : [...inOrder, next];
+    const [nextInRank] = extended.filter((node) => !owners.includes(node));
+    return nextInRank === undefined ? inOrder : [...inOrder, nextInRank];
   }
 
   /** All localities with live nodes, beginning with a given one. */
@@ -179,16 +181,18 @@
 
   private selectOwners(nodes: readonly NodeId[], minimum: number): NodeId[] {
     const count = Math.max(minimum, Math.ceil(nodes.length / NODES_PER_OWNER));
-    const strong = this.strongest(nodes, minimum);
-    return rendezvousOrder(OWNERS_KEY, strong, (node) => node).slice(0, count);
+    const highCapacityNodes = this.withHighCapacity(nodes, minimum);
+    return rendezvousOrder(OWNERS_KEY, highCapacityNodes, (node) => node).slice(0, count);
   }
 
-  /** Returns the strongest machines, or all if these are fewer than `minimum`. */
-  private strongest(nodes: readonly NodeId[], minimum: number): readonly NodeId[] {
+  /** Returns the nodes with high capacity, or all nodes if these are fewer than `minimum`. */
+  private withHighCapacity(nodes: readonly NodeId[], minimum: number): readonly NodeId[] {
     const { capacityOf } = this.options;
     const maxCapacity = Math.max(0, ...nodes.map(capacityOf));
-    const strong = nodes.filter((node) => capacityOf(node) >= MIN_CAPACITY_SHARE * maxCapacity);
-    return strong.length >= minimum ? strong : nodes;
+    const highCapacityNodes = nodes.filter(
+      (node) => capacityOf(node) >= MIN_CAPACITY_SHARE * maxCapacity,
+    );
+    return highCapacityNodes.length >= minimum ? highCapacityNodes : nodes;
   }
 
   private isExcluded(node: NodeId): boolean {
--- a/src/fleet/job-takeover.ts
+++ b/src/fleet/job-takeover.ts
@@ -42,7 +42,7 @@
 const TERMINATION_GRACE: Milliseconds = 700;
 
 /**
- * Delay after an incarnation was replaced, which certainly ended; other nodes may be restarting
+ * Delay after an incarnation was replaced and has thus terminated; other nodes may be restarting
  * too.
  */
 const REPLACEMENT_GRACE: Milliseconds = 150;
@@ -131,8 +131,8 @@
     const isOwner = this.options.placement.owners().includes(this.options.self.node);
     const outcome = isOwner ? await this.scan(allowedRank) : 'orphans-seen';
     if (outcome === 'no-orphans') return;
-    const next = outcome === 'unavailable' ? allowedRank : allowedRank + 1;
-    if (next < MAX_SCANS) this.schedule(RANK_DELAY, () => this.scanUpToRank(next));
+    const nextRank = outcome === 'unavailable' ? allowedRank : allowedRank + 1;
+    if (nextRank < MAX_SCANS) this.schedule(RANK_DELAY, () => this.scanUpToRank(nextRank));
   }
 
   private schedule(delay: Milliseconds, work: () => Promise<void>): void {
@@ -177,9 +177,9 @@
     const { placement, self, service, requestTakeover } = this.options;
     const mayHold = this.holderFilterOf(found);
     const nodes = placement.ownersOf(job, found.head.zone, mayHold);
-    const others = nodes.filter((name) => name !== owner?.node);
+    const candidates = nodes.filter((name) => name !== owner?.node);
     const mayHoldHere = mayHold(self.node);
-    for (const node of others.slice(0, mayHoldHere ? 1 : MAX_TAKEOVER_OFFERS)) {
+    for (const node of candidates.slice(0, mayHoldHere ? 1 : MAX_TAKEOVER_OFFERS)) {
       if (node === self.node) break;
       if (await requestTakeover(node, job, owner, ownerAnswers)) return;
     }
@@ -204,7 +204,6 @@
     } else await service.takeOver(job, found, ownerAnswers);
   }
 
-  /** Cancels scheduled scans. */
   stop(): void {
     this.isStopped = true;
     for (const timer of this.timers) clearTimeout(timer);
--- a/src/fleet/model-assignment.ts
+++ b/src/fleet/model-assignment.ts
@@ -73,8 +73,8 @@
     const isSmall = all.length < MIN_FLEET_SIZE_PER_MODEL * models.length;
     if (isSmall) this.current.clear();
     if (isSmall || workers.length < MIN_WORKERS_PER_MODEL * models.length) {
-      const present = new Set(workers.map(({ id }) => id));
-      return (worker, model) => present.has(worker) || this.servesCurrently(worker, model);
+      const assignableIds = new Set(workers.map(({ id }) => id));
+      return (worker, model) => assignableIds.has(worker) || this.servesCurrently(worker, model);
     }
     const retained = evacuated.flatMap((worker) => this.currentEntry(worker, newestVersions));
     this.current = new Map([...this.assignModels(workers, models, newestVersions), ...retained]);
--- a/src/fleet/peer-monitor.ts
+++ b/src/fleet/peer-monitor.ts
@@ -27,16 +27,15 @@
 
 /** Consecutive unanswered probes after which a node is suspected. */
 const UNANSWERED_PROBE_LIMIT = 3;
-/** The same for refused connections, as the process has then terminated. */
+/** Consecutive refused connections after which a node is suspected: its process has terminated. */
 const REFUSED_PROBE_LIMIT = 2;
 
 /** Consecutive answers that report an unreachable store after which a node is suspected. */
 const STORE_UNREACHABLE_LIMIT = 3;
 
-/** Other nodes may notice so much later than this one that the store is reachable again. */
+/** Delay with which other nodes may notice that the store is reachable again. */
 const STORE_RECOVERY_TIME: Milliseconds = 2_000;
 
-/** Options of {@link PeerMonitor}. */
 export interface PeerMonitorOptions {
   readonly fleet: FleetRegistry;
   readonly peers: PeerPort;
@@ -104,12 +103,12 @@
   }
 
   private monitoredNode(owner: JobOwner): MonitoredNode {
-    const known = this.monitored.get(owner.node);
-    if (known?.owner.incarnation === owner.incarnation) return known;
+    const existing = this.monitored.get(owner.node);
+    if (existing?.owner.incarnation === owner.incarnation) return existing;
     const counts = { unansweredProbes: 0, refusedProbes: 0, storeUnreachableAnswers: 0 };
-    const fresh = { owner, ...counts, isSuspected: false, isProbing: false, nextProbeAt: 0 };
-    this.monitored.set(owner.node, fresh);
-    return fresh;
+    const monitored = { owner, ...counts, isSuspected: false, isProbing: false, nextProbeAt: 0 };
+    this.monitored.set(owner.node, monitored);
+    return monitored;
   }
 
   private async probe(monitored: MonitoredNode, address: string): Promise<void> {
@@ -171,10 +170,10 @@
     const { isInSameRegion = () => true } = this.options;
     const self = this.options.self.node;
     const start = placementHash(self);
-    const others = this.options.fleet
+    const otherNodes = this.options.fleet
       .liveNodes()
       .filter((node) => node !== self && isInSameRegion(node));
-    const positioned = others.map((node) => ({
+    const positioned = otherNodes.map((node) => ({
       node,
       position: (placementHash(node) - start + RING_SIZE) % RING_SIZE,
     }));
--- a/src/fleet/peer-request-handler.ts
+++ b/src/fleet/peer-request-handler.ts
@@ -23,7 +23,6 @@
 import type { WatchRelay } from './watch-relay.js';
 import type { WeightChange } from './weight-changes.js';
 
-/** Options of {@link PeerRequestHandler}. */
 export interface PeerRequestHandlerOptions {
   readonly fleet: FleetRegistry;
   readonly self: JobOwner;
--- a/src/fleet/peer-requester.ts
+++ b/src/fleet/peer-requester.ts
@@ -18,13 +18,12 @@
 import type { FleetMetrics } from '../telemetry/fleet-metrics.js';
 import type { FleetRegistry } from './fleet-registry.js';
 
-/** Several iterations of a busy node's event loop. */
+/** Covers several iterations of a busy node's event loop. */
 const PROBE_TIMEOUT: Milliseconds = 250;
 
 /** Number of nodes that are probed for access to the store. */
 const MAX_STORE_PROBES = 4;
 
-/** Options of {@link PeerRequester}. */
 export interface PeerRequesterOptions {
   readonly port: PeerPort;
   readonly fleet: FleetRegistry;
@@ -100,9 +99,9 @@
    */
   private nodesToProbe(where: 'anywhere' | 'own-zone', mayRequest: MayHold): NodeId[] {
     const { fleet, self, zone, distanceBetween = distanceInOneRegion } = this.options;
-    const others = fleet.liveNodes().filter((node) => node !== self.node && mayRequest(node));
+    const candidates = fleet.liveNodes().filter((node) => node !== self.node && mayRequest(node));
     const nodesAt = (distance: ZoneDistance): NodeId[] =>
-      others.filter((node) => distanceBetween(zone, fleet.zoneOf(node) ?? zone) === distance);
+      candidates.filter((node) => distanceBetween(zone, fleet.zoneOf(node) ?? zone) === distance);
     if (where === 'own-zone') return nodesAt('same-zone').slice(0, MAX_STORE_PROBES);
     const otherRegion = nodesAt('other-region').slice(0, MAX_STORE_PROBES / 2);
     const ownRegion = [...nodesAt('same-zone'), ...nodesAt('same-region')];
--- a/src/fleet/prefix-sources.ts
+++ b/src/fleet/prefix-sources.ts
@@ -1,6 +1,6 @@
 /**
  * Tracks from which source this node last received each prefix, and logs changes of the source and
- * the time without one.
+ * the time without a source.
  */
 import type { NodeId } from '../core/identity.js';
 import type { Milliseconds } from '../core/units.js';
@@ -13,7 +13,6 @@
 /** The source of a prefix that neither a relay nor the store provides. */
 const NO_SOURCE = 'nobody';
 
-/** Options of {@link PrefixSources}. */
 export interface PrefixSourcesOptions {
   readonly clock: Clock;
   readonly log: Pick<DecisionLog, 'state'>;
@@ -46,7 +45,8 @@
   }
 
   /**
-   * Records a contact: the store answered about a prefix, or another node did, whatever it knew.
+   * Records a contact: the store or another node answered a request for a prefix, with or without
+   * current data.
    */
   noteContact(prefix: string): void {
     this.contacts.set(prefix, suspendAwareTime(this.options.clock));
--- a/src/fleet/relay-choice.ts
+++ b/src/fleet/relay-choice.ts
@@ -33,7 +33,6 @@
   renewalAge(): Milliseconds;
 }
 
-/** Options of {@link RelayChoice}. */
 export interface RelayChoiceOptions {
   readonly fleet: () => RelayFleet;
   readonly self: NodeId;
@@ -65,8 +64,8 @@
   relaysInOrder(isRejectedByStore: boolean): 'self' | readonly NodeId[] {
     const { fleet, self, zone } = this.options;
     const zones = this.nodesByZone(fleet());
-    const own = this.relaysOf(zone, zones);
-    const isRelay = own.includes(self) || own.length === 0;
+    const ownZoneRelays = this.relaysOf(zone, zones);
+    const isRelay = ownZoneRelays.includes(self) || ownZoneRelays.length === 0;
     if (isRelay && !isRejectedByStore) return 'self';
     const rankedRelays = this.rankedRelays(isRejectedByStore ? this.usableOthers(zones) : zones);
     if (isRelay && rankedRelays.length === 0) return 'self';
@@ -82,9 +81,9 @@
   /** All relays: those of this zone first, then those of this region, then the others. */
   private rankedRelays(zones: ReadonlyMap<ZoneName, readonly NodeId[]>): NodeId[] {
     const { self, zone } = this.options;
-    const others = [...zones.keys()].filter((name) => name !== zone);
-    const ownRegion = others.filter((name) => this.isInOwnRegion(name));
-    const otherRegions = others.filter((name) => !this.isInOwnRegion(name));
+    const otherZones = [...zones.keys()].filter((name) => name !== zone);
+    const ownRegion = otherZones.filter((name) => this.isInOwnRegion(name));
+    const otherRegions = otherZones.filter((name) => !this.isInOwnRegion(name));
     const relaysIn = (names: ZoneName[]): NodeId[] =>
       names.flatMap((name) => this.relaysOf(name, zones));
     return [relaysIn([zone]), relaysIn(ownRegion), relaysIn(otherRegions)].flatMap((nodes) =>
@@ -103,9 +102,9 @@
     const relays = [...zones.keys()]
       .filter((name) => this.isInOwnRegion(name))
       .flatMap((name) => this.relaysOf(name, zones));
-    const [first] = rendezvousOrder(regionOf(zone), relays, (node) => node);
-    if (first === undefined || first === self) return undefined;
-    return this.isUsable(first) ? first : undefined;
+    const [firstInRank] = rendezvousOrder(regionOf(zone), relays, (node) => node);
+    if (firstInRank === undefined || firstInRank === self) return undefined;
+    return this.isUsable(firstInRank) ? firstInRank : undefined;
   }
 
   private isInOwnRegion(zone: ZoneName): boolean {
--- a/src/fleet/relay-upstream.ts
+++ b/src/fleet/relay-upstream.ts
@@ -30,7 +30,6 @@
 /** Time for the first relay to send a whole prefix. */
 const LIST_TIMEOUT: Milliseconds = 600;
 
-/** Options of {@link RelayUpstream}. */
 export interface RelayUpstreamOptions {
   readonly store: SharedStore;
   readonly choice: Pick<RelayChoice, 'firstRelay' | 'penalize'>;
--- a/src/fleet/singleton-tasks.ts
+++ b/src/fleet/singleton-tasks.ts
@@ -26,10 +26,9 @@
 import type { FleetMetrics } from '../telemetry/fleet-metrics.js';
 import type { CoordinatorLock } from './coordinator-lock.js';
 
-/** Settings of the tasks. */
 export interface SingletonTaskSettings {
   readonly port: CloudPort;
-  /** How usage is reported; `undefined` for not at all. */
+  /** How usage is reported; `undefined` if it is not reported. */
   readonly usage: UsageReporting | undefined;
   /** Whether the fleet may order workers. */
   readonly scalesWorkers: boolean;
--- a/src/fleet/submission-router.ts
+++ b/src/fleet/submission-router.ts
@@ -107,11 +107,13 @@
    */
   private async responsiveNodes(nodes: readonly NodeId[]): Promise<NodeId[]> {
     const { requester, placement } = this.options;
-    const first = nodes.slice(0, MAX_PROBED_NODES);
-    const areLive = await Promise.all(first.map((node) => requester.isAlive(node)));
-    const unresponsive = first.filter((_, index) => areLive[index] !== true);
+    const probedNodes = nodes.slice(0, MAX_PROBED_NODES);
+    const areLive = await Promise.all(probedNodes.map((node) => requester.isAlive(node)));
+    const unresponsive = probedNodes.filter((_, index) => areLive[index] !== true);
     for (const node of unresponsive) placement.noteUnresponsive(node);
-    return first.filter((_, index) => areLive[index] === true).slice(0, MAX_CROSS_REGION_OFFERS);
+    return probedNodes
+      .filter((_, index) => areLive[index] === true)
+      .slice(0, MAX_CROSS_REGION_OFFERS);
   }
 
   /**
--- a/src/fleet/watch-relay.ts
+++ b/src/fleet/watch-relay.ts
@@ -40,7 +40,6 @@
  */
 const MAX_STALE_RELAY_RETRIES = 3;
 
-/** Options of {@link WatchRelay}. */
 export interface WatchRelayOptions extends RelayChoiceOptions, ChangeBound {
   readonly store: SharedStore;
   readonly peers: PeerPort;
@@ -50,7 +49,6 @@
   readonly metrics: FleetMetrics;
 }
 
-/** The requests to a relay. */
 type RelayRequestKind = 'follow-prefix' | 'list-prefix';
 
 type CurrentAnswer<Kind extends RelayRequestKind> = Extract<PeerAnswers[Kind], { isCurrent: true }>;
@@ -102,7 +100,7 @@
     });
   }
 
-  /** The store with lists and watches through relays where there are any. */
+  /** The store, with lists and watches sent to relays if any are available. */
   relayedStore(): SharedStore {
     const { store, prefixes } = this.options;
     return {
@@ -118,8 +116,8 @@
   }
 
   /**
-   * Time since the store answered about a prefix, or another node did, whatever it knew; infinite
-   * before the first time.
+   * Time since the store or another node answered a request for a prefix, with or without current
+   * data; infinite before the first answer.
    */
   contactAge(prefix: string): Milliseconds {
     return Math.min(this.sources.contactAge(prefix), this.direct.contactAge(prefix));
@@ -135,7 +133,6 @@
     return this.direct.answer(request);
   }
 
-  /** Answers a follower's list. */
   answerList(request: PeerRequestOf<'list-prefix'>): PeerAnswers['list-prefix'] {
     return this.direct.answerList(request);
   }
@@ -253,7 +250,7 @@
       const failure = outcome.kind === 'answered' ? 'not-current' : outcome.kind;
       metrics.count('relayed_watches', { outcome: isCurrent ? 'current' : failure });
       if (isCurrent) {
-        for (const other of notCurrent) this.choice.penalize(other);
+        for (const skippedRelay of notCurrent) this.choice.penalize(skippedRelay);
         this.noteReceived(prefix, relay);
         return { kind: 'answered', answer: outcome.answer as CurrentAnswer<Kind> };
       }
--- a/src/fleet/weight-rollout.ts
+++ b/src/fleet/weight-rollout.ts
@@ -36,7 +36,7 @@
   readonly holder: string;
   /** Newest version that a trainer named, by model. */
   readonly namedVersions: ReadonlyMap<ModelName, NamedVersion>;
-  /** Whether a service is part of the configuration in force. */
+  /** Whether a service is part of the current configuration. */
   readonly isConfigured: (service: ServiceName) => boolean;
   /** Called with each change that was ordered, and with each that is complete. */
   readonly noteChange: (change: WeightChange) => void;
@@ -59,14 +59,14 @@
   return Math.max(MIN_CONCURRENT_LOADS, Math.round(LOADING_SHARE * workers));
 }
 
-/** Time after an order at which the worker is first asked whether it is done. */
+/** Time after an order at which the worker is first polled for completion. */
 const FIRST_CHECK_DELAY: Milliseconds = 900;
 const CHECK_INTERVAL: Milliseconds = 250;
 
-/** Time after which an incomplete change is decided anew. */
+/** Time after which an incomplete change is abandoned and may be ordered again. */
 const CHANGE_TIMEOUT: Milliseconds = 4_000;
 
-/** Delay before a worker that did not answer or rejected an order is asked again. */
+/** Delay before a worker that did not answer or rejected an order is ordered again. */
 const RETRY_DELAY: Milliseconds = 500;
 
 /** Time after which all workers load a version that no newer one has replaced. */
@@ -96,7 +96,7 @@
     this.assignment = new ModelAssignment(options.localityOf);
   }
 
-  /** Records that a job needs at least a version: workers behind it change first. */
+  /** Records the minimum version that a job needs; workers with older versions change first. */
   requireWeights({ model, version, tokens, zone }: WeightNeed): void {
     if (version > (this.requiredVersions.get(model) ?? 0))
       this.requiredVersions.set(model, version);
@@ -132,14 +132,14 @@
     const now = this.options.clock.now();
     const { isEvacuated = () => false } = this.options;
     const workers = this.configuredWorkers().filter(({ record }) => !record.draining);
-    const present = workers.filter((worker) => !isEvacuated(worker));
+    const notEvacuated = workers.filter((worker) => !isEvacuated(worker));
     const evacuated = workers.filter(isEvacuated);
     const serves = this.assignment.update(
-      present.map(toAssignable),
+      notEvacuated.map(toAssignable),
       this.newestVersions(),
       evacuated.map(toAssignable),
     );
-    const changes = this.changesAmong(present, serves, now);
+    const changes = this.changesAmong(notEvacuated, serves, now);
     const due = changes.length > 0 ? changes : this.deferredChangesAmong(evacuated, serves, now);
     return due
       .filter(({ worker }) => (this.postponedUntil.get(worker) ?? 0) <= now)
@@ -160,7 +160,7 @@
       );
       const target = { model, version, required: this.requiredVersions.get(model) ?? 0 };
       const mayWait = now - namedAt < CATCH_UP_DELAY;
-      return dueChanges(holders, target, mayWait, (one) => this.changing.get(one) === model);
+      return dueChanges(holders, target, mayWait, (worker) => this.changing.get(worker) === model);
     });
   }
 
@@ -270,7 +270,7 @@
   }
 }
 
-/** Whether a report comes from another incarnation than the known one. */
+/** Whether a report comes from another incarnation of the worker than the registered one. */
 function isOtherIncarnation({ startedAt }: EngineReport, { record }: KnownWorker): boolean {
   if (startedAt === undefined || record.startedAt === undefined) return false;
   return startedAt !== record.startedAt;
--- a/src/fleet/worker-gate.ts
+++ b/src/fleet/worker-gate.ts
@@ -80,12 +80,12 @@
     return this.evacuations.isEvacuated(zone);
   }
 
-  /** The operator evacuates a zone. */
+  /** Called when the operator evacuates a zone. */
   evacuate(zone: ZoneName): void {
     if (this.evacuations.begin(zone)) this.reportEvacuationChange('zone-evacuated', zone);
   }
 
-  /** The operator ends an evacuation. */
+  /** Called when the operator ends an evacuation. */
   endEvacuation(zone: ZoneName): void {
     if (!this.evacuations.end(zone)) return;
     this.coldWorkers.noteEvacuationEnded(zone);
@@ -97,7 +97,7 @@
     this.coldWorkers.noteRecord(record);
   }
 
-  /** The initial list of workers is complete. */
+  /** Called once the initial list of workers is complete. */
   noteListed(): void {
     this.coldWorkers.noteListed();
   }
--- a/src/fleet/worker-roster.ts
+++ b/src/fleet/worker-roster.ts
@@ -1,6 +1,6 @@
 /**
- * Applies the workers' records in the shared store to the registry, and tells removed records from
- * those that expired during an outage of the store.
+ * Applies the workers' records in the shared store to the registry, and distinguishes removed
+ * records from those that expired during an outage of the store.
  */
 import type { Milliseconds } from '../core/units.js';
 import type { EnginePort } from '../serving/engine-port.js';
@@ -17,8 +17,8 @@
 const EXPIRY_GRACE: Milliseconds = 1_500;
 
 /**
- * Time for which a worker whose record is gone may finish its requests. Some workers leave without
- * notice and continue to serve; a crashed one is detected by its idle streams.
+ * Time for which a worker whose record was removed may finish its requests. Some workers are
+ * removed without notice and continue to serve; a crashed one is detected by its idle streams.
  */
 const DRAIN_TIME: Milliseconds = 12_000;
 
@@ -54,7 +54,7 @@
     if (this.newRecords.length === 1) setImmediate(() => this.logNewRecords());
   }
 
-  /** Connections to the previous incarnation are dead, or now reach the new one. */
+  /** Closes connections to the previous incarnation: they are dead or now reach the new one. */
   private handleRestart({ id, startedAt = 0 }: WorkerRecord): void {
     this.options.engine.forget(id);
     this.options.log.state('worker-restarted', { worker: id, startedAt });
@@ -74,8 +74,8 @@
   }
 
   /**
-   * A record was removed. If the store was unreachable, the record may have expired with its lease;
-   * the worker then stays for a grace period in which a live one registers again.
+   * Handles the removal of a record. After an outage of the store the record may have expired with
+   * its lease; the worker then stays for a grace period in which a live one registers again.
    */
   handleRemoval(id: string): void {
     const { registry, fleet, log } = this.options;
@@ -90,7 +90,7 @@
     }, EXPIRY_GRACE);
   }
 
-  /** An unreadable record: its worker gets no new requests. */
+  /** Handles an unreadable record: its worker gets no new requests. */
   handleUnreadable(id: string): void {
     this.options.metrics.count('unreadable_entries', {});
     this.options.log.decision('worker-entry-unreadable', { worker: id });
--- a/src/fleet/zone-autonomy.ts
+++ b/src/fleet/zone-autonomy.ts
@@ -11,7 +11,6 @@
 import type { FleetMetrics } from '../telemetry/fleet-metrics.js';
 import type { FleetRegistry } from './fleet-registry.js';
 
-/** Options of {@link ZoneAutonomy}. */
 export interface ZoneAutonomyOptions {
   /** Whether zones serve their own callers; otherwise there are no journals. */
   readonly isEnabled: boolean;
