--- a/test/fleet/cold-workers.test.ts
+++ b/test/fleet/cold-workers.test.ts
@@ -208,22 +208,23 @@
   node.add(worker('w2', { coldFor: 0, zone: 'zone-2' }));
   node.coldWorkers.noteListed();
   node.becomeCoordinator();
-  const [first, second] = node.registry.all().map(({ record }) => record);
-  if (first === undefined || second === undefined) throw new Error('two workers were added');
-  t.ok(node.maySend(first) && node.maySend(second));
+  const [firstWorker, secondWorker] = node.registry.all().map(({ record }) => record);
+  if (firstWorker === undefined || secondWorker === undefined)
+    throw new Error('a worker is missing from the registry');
+  t.ok(node.maySend(firstWorker) && node.maySend(secondWorker));
   node.coldTime = 1_500;
   node.coldWorkers.noteEvacuationEnded('zone-1');
-  t.ok(node.maySend(second));
-  t.notOk(node.maySend(first));
+  t.ok(node.maySend(secondWorker));
+  t.notOk(node.maySend(firstWorker));
   node.clock.time += 1;
   await eventually(() => node.probed.length === 1);
   t.same(node.probed, ['w1']);
   node.clock.time += 1_000;
-  node.maySend(first);
+  node.maySend(firstWorker);
   node.coldWorkers.answerRequests([{ worker: 'w1', life: 'w1', permits: 1, doubtAge: undefined }]);
   t.same(node.probed, ['w1'], 'it reported how long it stays cold');
   node.clock.time += 700;
-  t.ok(node.maySend(first));
+  t.ok(node.maySend(firstWorker));
   t.equal(node.metrics.snapshot()['warmth_looks.cold'], 1);
 });
 
--- a/test/fleet/coordinator-lock.test.ts
+++ b/test/fleet/coordinator-lock.test.ts
@@ -15,9 +15,9 @@
   readonly fleet: FleetRegistry;
   readonly lock: CoordinatorLock;
   stop(): Promise<void>;
-  /** Stops trying for the lock, and still answers. */
+  /** Stops attempts to acquire the lock; the node still answers requests. */
   stopTrying(): void;
-  /** Stops it without ending its lease, as a crash does. */
+  /** Stops the node without revoking its lease, as a crash does. */
   crash(): void;
 }
 
@@ -58,53 +58,53 @@
 
 t.test('one of two nodes holds the lock, and each new holder has a higher token', async (t) => {
   const store = new SharedStoreEmulator();
-  const one = startCandidate(store, OWNER, 0);
-  await eventually(() => one.lock.fencingToken() !== undefined);
-  const two = startCandidate(store, OTHER, 0);
-  await eventually(() => two.lock.holder === 'node-1');
-  const first = one.lock.fencingToken() ?? 0;
-  t.equal(two.lock.fencingToken(), undefined);
-  await one.stop();
-  await eventually(() => two.lock.fencingToken() !== undefined);
-  t.ok((two.lock.fencingToken() ?? 0) > first);
-  t.equal(two.lock.holder, 'node-2');
-  await two.stop();
+  const holder = startCandidate(store, OWNER, 0);
+  await eventually(() => holder.lock.fencingToken() !== undefined);
+  const successor = startCandidate(store, OTHER, 0);
+  await eventually(() => successor.lock.holder === 'node-1');
+  const firstToken = holder.lock.fencingToken() ?? 0;
+  t.equal(successor.lock.fencingToken(), undefined);
+  await holder.stop();
+  await eventually(() => successor.lock.fencingToken() !== undefined);
+  t.ok((successor.lock.fencingToken() ?? 0) > firstToken);
+  t.equal(successor.lock.holder, 'node-2');
+  await successor.stop();
 });
 
 t.test('a new holder waits for the orders of the previous one', async (t) => {
   const store = new SharedStoreEmulator();
-  const one = startCandidate(store, OWNER, 60_000);
-  await eventually(() => one.lock.fencingToken() !== undefined);
-  const two = startCandidate(store, OTHER, 60_000);
-  await eventually(() => two.lock.holder === 'node-1');
-  await one.stop();
-  await eventually(() => two.lock.holder === 'node-2');
-  t.equal(two.lock.fencingToken(), undefined);
-  await two.stop();
+  const holder = startCandidate(store, OWNER, 60_000);
+  await eventually(() => holder.lock.fencingToken() !== undefined);
+  const successor = startCandidate(store, OTHER, 60_000);
+  await eventually(() => successor.lock.holder === 'node-1');
+  await holder.stop();
+  await eventually(() => successor.lock.holder === 'node-2');
+  t.equal(successor.lock.fencingToken(), undefined);
+  await successor.stop();
 });
 
 t.test('the last holder reacquires an expired lock at once, with a higher token', async (t) => {
   const store = new SharedStoreEmulator();
-  const one = startCandidate(store, OWNER, 60_000);
-  await eventually(() => one.lock.fencingToken() !== undefined);
-  const first = one.lock.fencingToken() ?? 0;
+  const holder = startCandidate(store, OWNER, 60_000);
+  await eventually(() => holder.lock.fencingToken() !== undefined);
+  const firstToken = holder.lock.fencingToken() ?? 0;
   store.lapseLeases();
-  await eventually(() => (one.lock.fencingToken() ?? 0) > first);
+  await eventually(() => (holder.lock.fencingToken() ?? 0) > firstToken);
   t.pass('no wait although the transfer delay is a minute');
-  await one.stop();
+  await holder.stop();
 });
 
 t.test('a restarted holder reacquires its own lock at once, with a higher token', async (t) => {
   const store = new SharedStoreEmulator();
   const before = startCandidate(store, OWNER, 60_000);
   await eventually(() => before.lock.fencingToken() !== undefined);
-  const first = before.lock.fencingToken() ?? 0;
+  const firstToken = before.lock.fencingToken() ?? 0;
   const other = startCandidate(store, OTHER, 60_000);
   await eventually(() => other.lock.holder === 'node-1');
   before.crash();
   const after = startCandidate(store, { ...OWNER, incarnation: 'life-after' }, 60_000);
   await eventually(() => after.lock.fencingToken() !== undefined);
-  t.ok((after.lock.fencingToken() ?? 0) > first);
+  t.ok((after.lock.fencingToken() ?? 0) > firstToken);
   t.equal(other.lock.fencingToken(), undefined);
   await after.stop();
   await other.stop();
@@ -129,89 +129,89 @@
 
 t.test('no orders without a lease that is certainly valid', async (t) => {
   const store = new SharedStoreEmulator();
-  const one = startCandidate(store, OWNER, 0);
-  await eventually(() => one.lock.fencingToken() !== undefined);
+  const holder = startCandidate(store, OWNER, 0);
+  await eventually(() => holder.lock.fencingToken() !== undefined);
   store.setAvailability('refusing');
-  await eventually(() => one.lock.fencingToken() === undefined);
-  t.equal(one.lock.holder, 'node-1', 'no change of the lock was reported');
+  await eventually(() => holder.lock.fencingToken() === undefined);
+  t.equal(holder.lock.holder, 'node-1', 'no change of the lock was reported');
   store.setAvailability('up');
-  await one.stop();
+  await holder.stop();
 });
 
 t.test('a new lease does not restore a lock that expired with the previous lease', async (t) => {
   const store = new SharedStoreEmulator();
-  const one = startCandidate(store, OWNER, 0);
-  await eventually(() => one.lock.fencingToken() !== undefined);
-  const lease = one.fleet.leaseId;
-  const first = one.lock.fencingToken() ?? 0;
+  const holder = startCandidate(store, OWNER, 0);
+  await eventually(() => holder.lock.fencingToken() !== undefined);
+  const lease = holder.fleet.leaseId;
+  const firstToken = holder.lock.fencingToken() ?? 0;
   // This node's watch reports neither the lost lock nor its next holder.
   store.deafenWatches();
   store.lapseLease(lease);
   const lock = { node: 'node-2', address: '127.0.0.1:2', nonce: 'other' };
   store.write('fleet/coordinator', JSON.stringify(lock));
-  await eventually(() => one.fleet.leaseId !== lease && one.fleet.leaseRemaining() > 1_500);
-  t.equal(one.lock.fencingToken(), undefined, `token ${first} is not used again`);
+  await eventually(() => holder.fleet.leaseId !== lease && holder.fleet.leaseRemaining() > 1_500);
+  t.equal(holder.lock.fencingToken(), undefined, `token ${firstToken} is not used again`);
   store.compact();
-  await eventually(() => one.lock.holder === 'node-2');
-  t.equal(one.lock.fencingToken(), undefined);
-  await one.stop();
+  await eventually(() => holder.lock.holder === 'node-2');
+  t.equal(holder.lock.fencingToken(), undefined);
+  await holder.stop();
 });
 
 t.test('a node whose lock expired unnoticed reacquires it with few calls', async (t) => {
   const store = new SharedStoreEmulator();
-  const one = startCandidate(store, OWNER, 60_000);
-  await eventually(() => one.lock.fencingToken() !== undefined);
-  const first = one.lock.fencingToken() ?? 0;
+  const holder = startCandidate(store, OWNER, 60_000);
+  await eventually(() => holder.lock.fencingToken() !== undefined);
+  const firstToken = holder.lock.fencingToken() ?? 0;
   store.deafenWatches();
-  store.lapseLease(one.fleet.leaseId);
+  store.lapseLease(holder.fleet.leaseId);
   const before = store.calls.get('commit') ?? 0;
-  await eventually(() => (one.lock.fencingToken() ?? 0) > first);
+  await eventually(() => (holder.lock.fencingToken() ?? 0) > firstToken);
   const commits = (store.calls.get('commit') ?? 0) - before;
   t.ok(commits <= 5, `${commits} commits`);
   store.compact();
-  await one.stop();
+  await holder.stop();
 });
 
 t.test('a token that a worker rejected is not used again', async (t) => {
   const store = new SharedStoreEmulator();
-  const one = startCandidate(store, OWNER, 60_000);
-  await eventually(() => one.lock.fencingToken() !== undefined);
-  const refused = one.lock.fencingToken() ?? 0;
-  one.lock.noteRefused(refused);
-  t.not(one.lock.fencingToken(), refused);
-  await eventually(() => one.lock.fencingToken() !== undefined);
-  t.ok((one.lock.fencingToken() ?? 0) > refused, 'only a newer one is used');
-  await one.stop();
+  const holder = startCandidate(store, OWNER, 60_000);
+  await eventually(() => holder.lock.fencingToken() !== undefined);
+  const refused = holder.lock.fencingToken() ?? 0;
+  holder.lock.noteRefused(refused);
+  t.not(holder.lock.fencingToken(), refused);
+  await eventually(() => holder.lock.fencingToken() !== undefined);
+  t.ok((holder.lock.fencingToken() ?? 0) > refused, 'only a newer one is used');
+  await holder.stop();
 });
 
 t.test('a new holder waits for as long as the previous one may rely on its lease', async (t) => {
   const store = new SharedStoreEmulator();
-  const one = startCandidate(store, OWNER, 0);
-  await eventually(() => one.lock.fencingToken() !== undefined);
-  const two = startCandidate(store, OTHER, 0);
-  await eventually(() => two.lock.holder === 'node-1');
-  // The lock is removed while its holder may still trust its lease.
-  one.crash();
+  const holder = startCandidate(store, OWNER, 0);
+  await eventually(() => holder.lock.fencingToken() !== undefined);
+  const successor = startCandidate(store, OTHER, 0);
+  await eventually(() => successor.lock.holder === 'node-1');
+  // The lock is removed while its holder may still rely on its lease.
+  holder.crash();
   store.erase('fleet/coordinator');
-  await eventually(() => two.lock.holder === 'node-2');
+  await eventually(() => successor.lock.holder === 'node-2');
   const takenAt = performance.now();
-  t.equal(two.lock.fencingToken(), undefined);
-  await eventually(() => two.lock.fencingToken() !== undefined);
+  t.equal(successor.lock.fencingToken(), undefined);
+  await eventually(() => successor.lock.fencingToken() !== undefined);
   t.ok(performance.now() - takenAt >= FENCING_TOKEN_VALIDITY - 50);
-  await two.stop();
+  await successor.stop();
 });
 
 t.test('where workers check tokens, a new holder waits only for the transfer delay', async (t) => {
   const store = new SharedStoreEmulator();
-  const one = startCandidate(store, OWNER, 0, true);
-  await eventually(() => one.lock.fencingToken() !== undefined);
-  const two = startCandidate(store, OTHER, 0, true);
-  await eventually(() => two.lock.holder === 'node-1');
-  one.crash();
+  const holder = startCandidate(store, OWNER, 0, true);
+  await eventually(() => holder.lock.fencingToken() !== undefined);
+  const successor = startCandidate(store, OTHER, 0, true);
+  await eventually(() => successor.lock.holder === 'node-1');
+  holder.crash();
   store.erase('fleet/coordinator');
-  await eventually(() => two.lock.holder === 'node-2');
-  t.not(two.lock.fencingToken(), undefined);
-  await two.stop();
+  await eventually(() => successor.lock.holder === 'node-2');
+  t.not(successor.lock.fencingToken(), undefined);
+  await successor.stop();
 });
 
 /** Peers that pass a request to resign on to a holder. */
@@ -226,98 +226,98 @@
 
 t.test('a holder that resigns shortens the wait by the age of its last order', async (t) => {
   const store = new SharedStoreEmulator();
-  const one = startCandidate(store, OWNER, 0);
-  await eventually(() => one.lock.fencingToken() !== undefined);
-  t.not(one.lock.beginOrder(), undefined);
-  one.lock.endOrder();
-  one.stopTrying();
+  const holder = startCandidate(store, OWNER, 0);
+  await eventually(() => holder.lock.fencingToken() !== undefined);
+  t.not(holder.lock.beginOrder(), undefined);
+  holder.lock.endOrder();
+  holder.stopTrying();
   await PROCESS_CLOCK.sleep(300);
-  const two = startCandidate(
+  const successor = startCandidate(
     store,
     OTHER,
     1_500,
     false,
-    resigningPeers(() => one.lock),
+    resigningPeers(() => holder.lock),
   );
-  await eventually(() => two.lock.holder === 'node-1');
-  store.lapseLease(one.fleet.leaseId);
-  await eventually(() => two.lock.holder === 'node-2');
+  await eventually(() => successor.lock.holder === 'node-1');
+  store.lapseLease(holder.fleet.leaseId);
+  await eventually(() => successor.lock.holder === 'node-2');
   const takenAt = performance.now();
-  t.equal(two.lock.fencingToken(), undefined, 'the last order is not old enough');
-  await eventually(() => two.lock.fencingToken() !== undefined);
+  t.equal(successor.lock.fencingToken(), undefined, 'the last order is not old enough');
+  await eventually(() => successor.lock.fencingToken() !== undefined);
   t.ok(performance.now() - takenAt < 1_400, 'in place of 2,500 ms');
-  t.equal(one.lock.fencingToken(), undefined);
-  await one.stop();
-  await two.stop();
+  t.equal(holder.lock.fencingToken(), undefined);
+  await holder.stop();
+  await successor.stop();
 });
 
 t.test('an order in flight makes the next holder wait for the full delay', async (t) => {
   const store = new SharedStoreEmulator();
-  const one = startCandidate(store, OWNER, 0);
-  await eventually(() => one.lock.fencingToken() !== undefined);
-  one.lock.beginOrder();
-  t.equal(one.lock.resign(), 0);
-  t.equal(one.lock.fencingToken(), undefined);
-  one.lock.endOrder();
-  await one.stop();
+  const holder = startCandidate(store, OWNER, 0);
+  await eventually(() => holder.lock.fencingToken() !== undefined);
+  holder.lock.beginOrder();
+  t.equal(holder.lock.resign(), 0);
+  t.equal(holder.lock.fencingToken(), undefined);
+  holder.lock.endOrder();
+  await holder.stop();
 });
 
 t.test('a suspected holder that resigns loses the lock although its lease is valid', async (t) => {
   const store = new SharedStoreEmulator();
-  const one = startCandidate(store, OWNER, 0);
-  await eventually(() => one.lock.fencingToken() !== undefined);
-  const two = startCandidate(
+  const holder = startCandidate(store, OWNER, 0);
+  await eventually(() => holder.lock.fencingToken() !== undefined);
+  const successor = startCandidate(
     store,
     OTHER,
     0,
     false,
-    resigningPeers(() => one.lock),
+    resigningPeers(() => holder.lock),
   );
-  await eventually(() => two.lock.holder === 'node-1');
-  await two.lock.takeOverFrom(OWNER);
-  await eventually(() => two.lock.fencingToken() !== undefined);
-  t.equal(one.lock.fencingToken(), undefined);
-  await one.stop();
-  await two.stop();
+  await eventually(() => successor.lock.holder === 'node-1');
+  await successor.lock.takeOverFrom(OWNER);
+  await eventually(() => successor.lock.fencingToken() !== undefined);
+  t.equal(holder.lock.fencingToken(), undefined);
+  await holder.stop();
+  await successor.stop();
 });
 
 t.test(
   'a suspected holder that does not answer keeps the lock until its lease expires',
   async (t) => {
     const store = new SharedStoreEmulator();
-    const one = startCandidate(store, OWNER, 0);
-    await eventually(() => one.lock.fencingToken() !== undefined);
-    const two = startCandidate(store, OTHER, 0);
-    await eventually(() => two.lock.holder === 'node-1');
-    await two.lock.takeOverFrom(OWNER);
+    const holder = startCandidate(store, OWNER, 0);
+    await eventually(() => holder.lock.fencingToken() !== undefined);
+    const successor = startCandidate(store, OTHER, 0);
+    await eventually(() => successor.lock.holder === 'node-1');
+    await successor.lock.takeOverFrom(OWNER);
     await PROCESS_CLOCK.sleep(100);
-    t.equal(two.lock.holder, 'node-1');
-    t.not(one.lock.fencingToken(), undefined);
-    await one.stop();
-    await two.stop();
+    t.equal(successor.lock.holder, 'node-1');
+    t.not(holder.lock.fencingToken(), undefined);
+    await holder.stop();
+    await successor.stop();
   },
 );
 
 t.test('the lock of a holder whose process has terminated is free at once', async (t) => {
   const store = new SharedStoreEmulator();
-  const one = startCandidate(store, OWNER, 0);
-  await eventually(() => one.lock.fencingToken() !== undefined);
+  const holder = startCandidate(store, OWNER, 0);
+  await eventually(() => holder.lock.fencingToken() !== undefined);
   const refusing: PeerPort = { request: async () => ({ kind: 'refused' }) };
-  const two = startCandidate(store, OTHER, 0, true, refusing);
-  await eventually(() => two.lock.holder === 'node-1');
-  one.crash();
-  await two.lock.takeOverFrom(OWNER);
-  await eventually(() => two.lock.fencingToken() !== undefined);
+  const successor = startCandidate(store, OTHER, 0, true, refusing);
+  await eventually(() => successor.lock.holder === 'node-1');
+  holder.crash();
+  await successor.lock.takeOverFrom(OWNER);
+  await eventually(() => successor.lock.fencingToken() !== undefined);
   t.pass('before the lease of the previous holder expires');
-  await two.stop();
+  await successor.stop();
 });
 
 t.test('a new incarnation reports no orders only since its own start', async (t) => {
   const store = new SharedStoreEmulator();
-  const one = startCandidate(store, OWNER, 60_000);
+  const candidate = startCandidate(store, OWNER, 60_000);
   const startedAt = performance.now();
   await PROCESS_CLOCK.sleep(100);
-  const age = one.lock.resign();
+  const age = candidate.lock.resign();
   t.ok(age >= 90 && age <= performance.now() - startedAt + 50, `${age} ms`);
-  await one.stop();
+  await candidate.stop();
 });
--- a/test/fleet/evacuation.test.ts
+++ b/test/fleet/evacuation.test.ts
@@ -57,7 +57,9 @@
   const fleet = await EvacuationFleet.start(t);
   fleet.evacuate('zone-of-nobody');
   fleet.evacuate('');
-  await eventually(() => fleet.gateways.every((one) => hasLogged(one, 'record-unreadable')));
+  await eventually(() =>
+    fleet.gateways.every((gateway) => hasLogged(gateway, 'record-unreadable')),
+  );
   const [gateway] = fleet.gateways;
   const line = gateway?.lines
     .map((text) => JSON.parse(text))
@@ -175,7 +177,7 @@
     t.notOk(isolated.node.isReady, 'callers are served elsewhere');
     t.ok(hasLogged(isolated, 'evacuations-unknown'));
     t.equal(await fleet.lookUp(isolated), undefined);
-    const others = fleet.gateways.filter((one) => one !== isolated);
+    const others = fleet.gateways.filter((gateway) => gateway !== isolated);
     fleet.evacuate('zone-2');
     await fleet.untilAllSendTo(WITHOUT_ZONE_2, others);
     for (const other of others) t.ok(other.node.isReady, `${other.name} is ready`);
--- a/test/fleet/fleet-fixtures.ts
+++ b/test/fleet/fleet-fixtures.ts
@@ -45,5 +45,5 @@
     if (holds()) return;
     await new Promise((resolve) => setTimeout(resolve, step));
   }
-  throw new Error('the condition never held');
+  throw new Error('the condition was not met in 6,000 checks');
 }
--- a/test/fleet/fleet-peers.test.ts
+++ b/test/fleet/fleet-peers.test.ts
@@ -51,7 +51,7 @@
     incarnationOf: (node: string) => ({ node, incarnation: 'life', address: node }),
   } as unknown as FleetRegistry;
   const unused = (): never => {
-    throw new Error('not used');
+    throw new Error('unexpected call');
   };
   const placement = new JobPlacement({
     liveNodes: () => Object.keys(ZONES),
--- a/test/fleet/fleet-registry.test.ts
+++ b/test/fleet/fleet-registry.test.ts
@@ -44,11 +44,11 @@
   const fleet = registry(store);
   fleet.start();
   await eventually(() => fleet.isLive(OWNER));
-  const first = fleet.leaseId;
+  const firstLease = fleet.leaseId;
   store.lapseLeases();
   await eventually(() => !fleet.isLive(OWNER));
   await eventually(() => fleet.isLive(OWNER));
-  t.not(fleet.leaseId, first);
+  t.not(fleet.leaseId, firstLease);
   t.ok(fleet.wasStoreUnreachableWithin(60_000), 'the gap counts as an outage of the store');
   await fleet.stop();
 });
--- a/test/fleet/job-takeover.test.ts
+++ b/test/fleet/job-takeover.test.ts
@@ -193,10 +193,10 @@
   };
   emulator.erase('fleet/node/node-2');
   await eventually(() => !fixture.fleet.isLive(OTHER));
-  const first = takeover.sweep();
+  const firstSweep = takeover.sweep();
   await eventually(() => emulator.valueOf('job/head/job')?.includes(OWNER.incarnation) === true);
   await takeover.sweep();
-  await first;
+  await firstSweep;
   const takeovers = lines.filter((line) => line.includes('job-adopted'));
   t.equal(takeovers.length, 1);
   await fixture.stop();
--- a/test/fleet/model-assignment.test.ts
+++ b/test/fleet/model-assignment.test.ts
@@ -109,7 +109,7 @@
 t.test('a worker serves only a model that it holds', async (t) => {
   const fleet = [
     ...workers(14),
-    ...workers(4, ['a']).map((one) => ({ ...one, id: `only-${one.id}` })),
+    ...workers(4, ['a']).map((worker) => ({ ...worker, id: `only-${worker.id}` })),
   ];
   const assigned = assign(new ModelAssignment(), fleet);
   for (const model of ['b', 'c']) {
@@ -119,7 +119,7 @@
 
 /** Workers in three zones, in turn. */
 function zonedWorkers(count: number): AssignableWorker[] {
-  return workers(count).map((one, index) => ({ ...one, zone: `zone-${index % 3}` }));
+  return workers(count).map((worker, index) => ({ ...worker, zone: `zone-${index % 3}` }));
 }
 
 /** Share of each model's workers that are in the zone of its demand. */
@@ -171,7 +171,7 @@
 
 /** Thirty workers in three zones, in turn. */
 function workersInThreeZones(): AssignableWorker[] {
-  return workers(30).map((one, index) => ({ ...one, zone: `zone-${1 + (index % 3)}` }));
+  return workers(30).map((worker, index) => ({ ...worker, zone: `zone-${1 + (index % 3)}` }));
 }
 
 /** Updates the assignment while the workers of some zones are evacuated. */
@@ -231,8 +231,8 @@
 
 t.test('where shares allow it, an evacuation and its end reassign no worker', async (t) => {
   const assignment = new ModelAssignment();
-  const all = workers(30).map((one, index) => ({
-    ...one,
+  const all = workers(30).map((worker, index) => ({
+    ...worker,
     zone: `zone-${1 + (Math.floor(index / 3) % 3)}`,
   }));
   const before = assign(assignment, all);
@@ -244,15 +244,25 @@
   const assignment = new ModelAssignment();
   const all = workersInThreeZones();
   assign(assignment, all);
-  const one = assignWhileEvacuated(assignment, all, ['zone-1']);
-  const two = assignWhileEvacuated(assignment, all, ['zone-1', 'zone-2']);
-  t.equal([...two.values()].flat().length, 10, 'each worker that is left serves one model');
-  t.ok(reassigned(one, two).length <= 4, `${reassigned(one, two)} reassigned`);
+  const afterOneZone = assignWhileEvacuated(assignment, all, ['zone-1']);
+  const afterTwoZones = assignWhileEvacuated(assignment, all, ['zone-1', 'zone-2']);
+  t.equal(
+    [...afterTwoZones.values()].flat().length,
+    10,
+    'each worker that is left serves one model',
+  );
+  t.ok(
+    reassigned(afterOneZone, afterTwoZones).length <= 4,
+    `${reassigned(afterOneZone, afterTwoZones)} reassigned`,
+  );
 });
 
 t.test('with very few workers left, each serves every model', async (t) => {
   const assignment = new ModelAssignment();
-  const all = workers(30).map((one, index) => ({ ...one, zone: index < 4 ? 'zone-1' : 'zone-2' }));
+  const all = workers(30).map((worker, index) => ({
+    ...worker,
+    zone: index < 4 ? 'zone-1' : 'zone-2',
+  }));
   const before = assign(assignment, all);
   t.same(sizes(assignWhileEvacuated(assignment, all, ['zone-2'])), [4, 4, 4]);
   t.same(reassigned(before, assign(assignment, all)), []);
--- a/test/fleet/query-of-death.test.ts
+++ b/test/fleet/query-of-death.test.ts
@@ -88,7 +88,7 @@
 
 function gatewayAt(fleet: JoinedGateways, index: number): JoinedGateway {
   const gateway = fleet.gateways[index];
-  if (gateway === undefined) throw new Error('no such gateway');
+  if (gateway === undefined) throw new Error('the fleet has no gateway of this index');
   return gateway;
 }
 
--- a/test/fleet/region-cut.test.ts
+++ b/test/fleet/region-cut.test.ts
@@ -1,6 +1,6 @@
 /**
  * A fleet over two regions with the store in `north`: what `south` serves, what it rejects, and how
- * its jobs go on while it is partitioned from the other region or only from the store.
+ * its jobs continue while it is partitioned from the other region or only from the store.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 import t from 'tap';
@@ -113,10 +113,10 @@
   for (const gateway of inSouth) {
     t.equal((await fleet.ask(gateway, '/look/a', 'x')).body, `from ${SOUTH}`);
   }
-  const [first] = inSouth;
-  if (first === undefined) return t.fail('no gateway');
-  t.equal(await first.node.submit(specification('job', ITEMS), always), undefined);
-  t.equal((await readAll(first, 'job')).length, ITEMS);
+  const [southGateway] = inSouth;
+  if (southGateway === undefined) return t.fail('no gateway');
+  t.equal(await southGateway.node.submit(specification('job', ITEMS), always), undefined);
+  t.equal((await readAll(southGateway, 'job')).length, ITEMS);
   t.same([...engine.itemZones()], [SOUTH]);
   const owners = fleet.gateways.filter(({ node }) => node.jobs.ownedJobs().length > 0);
   t.equal(owners.length, 1);
@@ -139,40 +139,40 @@
     }
   }
   t.ok(engine.requests.every(({ worker }) => worker.zone === SOUTH));
-  const [first] = inSouth;
-  if (first === undefined) return t.fail('no gateway');
+  const [southGateway] = inSouth;
+  if (southGateway === undefined) return t.fail('no gateway');
   let isWanted = true;
   setTimeout(() => {
     isWanted = false;
   }, 1_000);
-  const refusal = await first.node.submit(specification('job', ITEMS), () => isWanted);
+  const refusal = await southGateway.node.submit(specification('job', ITEMS), () => isWanted);
   t.ok(refusal !== undefined, 'no job is confirmed that only this region would store');
   fleet.isLinkUp = true;
   fleet.withoutStore.clear();
   await eventually(() => fleet.gateways.every(({ node }) => node.liveNodes === 8));
-  t.equal(await first.node.submit(specification('job', ITEMS), always), undefined);
-  t.equal((await readAll(first, 'job')).length, ITEMS);
+  t.equal(await southGateway.node.submit(specification('job', ITEMS), always), undefined);
+  t.equal((await readAll(southGateway, 'job')).length, ITEMS);
 });
 
 t.test('a job of a partitioned region goes on in the other, with each result once', async (t) => {
   const started = await startFleet(t);
   const { engine, fleet, inSouth } = started;
-  const [first] = inSouth;
+  const [southGateway] = inSouth;
   const inNorth = fleet.gateways.find((gateway) => !inSouth.includes(gateway));
-  if (first === undefined || inNorth === undefined) return t.fail('no gateway');
+  if (southGateway === undefined || inNorth === undefined) return t.fail('no gateway');
   engine.itemTime = 400;
-  t.equal(await first.node.submit(specification('job', ITEMS), always), undefined);
+  t.equal(await southGateway.node.submit(specification('job', ITEMS), always), undefined);
   fleet.isLinkUp = false;
   fleet.withoutStore.add('south');
   expireSouthLeases(started);
   const atNorth = await readAll(inNorth, 'job');
   t.equal(new Set(atNorth).size, ITEMS, 'each item once');
-  const partitionedRead = await first.node.jobs.read('job', 0, 0, UNRESTRICTED);
+  const partitionedRead = await southGateway.node.jobs.read('job', 0, 0, UNRESTRICTED);
   const results = 'detail' in partitionedRead ? [] : partitionedRead.results;
   t.same(results, [], 'the partitioned region returns no result that the store has not confirmed');
   fleet.isLinkUp = true;
   fleet.withoutStore.clear();
-  t.same(await readAll(first, 'job'), atNorth, 'the same results at the same positions');
+  t.same(await readAll(southGateway, 'job'), atNorth, 'the same results at the same positions');
 });
 
 t.test('a region that only lost the store has its jobs accepted by the other', async (t) => {
@@ -180,9 +180,9 @@
   const { fleet, inSouth } = started;
   fleet.withoutStore.add('south');
   await outageNoticed(started);
-  const [first] = inSouth;
-  if (first === undefined) return t.fail('no gateway');
-  t.equal(await first.node.submit(specification('job', ITEMS), always), undefined);
-  t.equal((await readAll(first, 'job')).length, ITEMS);
-  t.equal((await fleet.ask(first, '/look/a', 'x')).body, `from ${SOUTH}`);
+  const [southGateway] = inSouth;
+  if (southGateway === undefined) return t.fail('no gateway');
+  t.equal(await southGateway.node.submit(specification('job', ITEMS), always), undefined);
+  t.equal((await readAll(southGateway, 'job')).length, ITEMS);
+  t.equal((await fleet.ask(southGateway, '/look/a', 'x')).body, `from ${SOUTH}`);
 });
--- a/test/fleet/regional-gateways.ts
+++ b/test/fleet/regional-gateways.ts
@@ -88,7 +88,6 @@
   }
 }
 
-/** One gateway of the fleet. */
 export interface RegionalGateway {
   readonly name: string;
   readonly zone: string;
@@ -147,12 +146,12 @@
       ...{ ...common, name, path_prefix: `/${name}/`, target_latency_ms: 500 },
       ...(regions === undefined ? {} : { allowed_regions: regions }),
     }));
-    const owners = Object.entries(tenants).map(([name, regions]) => ({
+    const tenantRecords = Object.entries(tenants).map(([name, regions]) => ({
       ...{ name, api_keys: [`key of ${name}`], allowed_regions: regions },
     }));
     const services = [{ name: 'service' }];
     const configuration = { version: this.version, routes: named, services, limits: LIMITS };
-    this.store.write('op/config', JSON.stringify({ ...configuration, tenants: owners }));
+    this.store.write('op/config', JSON.stringify({ ...configuration, tenants: tenantRecords }));
   }
 
   /** Resolves once all gateways have applied the newest configuration. */
--- a/test/fleet/regional-relays.test.ts
+++ b/test/fleet/regional-relays.test.ts
@@ -74,9 +74,9 @@
 t.test('a change arrives in time when the first relay stops answering', async (t) => {
   const fleet = fleetWith(byName);
   await fleet.start();
-  const first = await firstFarRelay(fleet);
-  fleet.silent.add(first);
-  const others = fleet.names().filter((node) => node !== first);
+  const firstRelay = await firstFarRelay(fleet);
+  fleet.silent.add(firstRelay);
+  const others = fleet.names().filter((node) => node !== firstRelay);
   const time = await fleet.propagationTime('silenced', others);
   t.ok(time < CHANGE_BOUND, `received after ${Math.round(time)} ms`);
   const before = callsFrom(fleet, 'far');
@@ -91,9 +91,9 @@
 t.test('a change arrives in time when only the first relay loses the store', async (t) => {
   const fleet = fleetWith(byName);
   await fleet.start();
-  const first = await firstFarRelay(fleet);
-  fleet.blockStore(first);
-  const others = fleet.names().filter((node) => node !== first);
+  const firstRelay = await firstFarRelay(fleet);
+  fleet.blockStore(firstRelay);
+  const others = fleet.names().filter((node) => node !== firstRelay);
   const time = await fleet.propagationTime('cut', others);
   t.ok(time < CHANGE_BOUND, `received after ${Math.round(time)} ms`);
   fleet.stop();
@@ -111,10 +111,10 @@
 t.test('a relay that reads through another answers followers but no third relay', async (t) => {
   const fleet = fleetWith(byName);
   await fleet.start();
-  const first = await firstFarRelay(fleet);
-  const second = fleet.relays().find((node) => node.startsWith('far') && node !== first) ?? '';
+  const firstRelay = await firstFarRelay(fleet);
+  const second = fleet.relays().find((node) => node.startsWith('far') && node !== firstRelay) ?? '';
   t.notSame(
-    await fleet.listAnswerOf(first, { kind: 'list-prefix', prefix: PREFIX, forRelay: true }),
+    await fleet.listAnswerOf(firstRelay, { kind: 'list-prefix', prefix: PREFIX, forRelay: true }),
     {
       isCurrent: false,
     },
--- a/test/fleet/regions-property.test.ts
+++ b/test/fleet/regions-property.test.ts
@@ -1,6 +1,6 @@
 /**
- * Whatever callers do at any gateway, and whatever fails: no data of a job that is limited to a
- * region reaches a worker outside it, nor a gateway outside it unless a caller reads the job there.
+ * Guards against data of a job that is limited to a region reaching a worker outside the region, or
+ * a gateway outside it at which no caller reads the job, for random calls and failures.
  */
 import fc from 'fast-check';
 import t from 'tap';
@@ -90,8 +90,8 @@
     const fleet = new RegionalGateways();
     await fleet.start(LAYOUT, LIMITS);
     const scenario = new Scenario(fleet);
-    const first = { kind: 'submit', at: 'n-1', job: 1 } as const;
-    for (const event of [first, ...events]) await scenario.applyEvent(event);
+    const firstEvent = { kind: 'submit', at: 'n-1', job: 1 } as const;
+    for (const event of [firstEvent, ...events]) await scenario.applyEvent(event);
     const outside = fleet.deliveries.filter(({ to }) => to.startsWith('n'));
     const leaks = outside.filter(({ to }) => !scenario.readAt.has(to));
     const submitted = outside.filter(({ by }) => by === 'submit-for' || by === 'surrender-job');
--- a/test/fleet/relayed-fleet.ts
+++ b/test/fleet/relayed-fleet.ts
@@ -39,7 +39,6 @@
 
 type Delays = Pick<PrefixWatcherOptions, 'coalesce' | 'retryPause'>;
 
-/** The nodes. */
 export class RelayedFleet {
   readonly store = new SharedStoreEmulator();
   /** Nodes that do not answer other nodes. */
@@ -80,7 +79,6 @@
     for (const { watcher } of this.nodes.values()) watcher.stop();
   }
 
-  /** The relays. */
   relays(): string[] {
     return this.names().filter((name) => this.nodes.get(name)?.relay.isRelay === true);
   }
