--- a/src/journal/job-journal.ts
+++ b/src/journal/job-journal.ts
@@ -33,7 +33,6 @@
  */
 export type AppendOutcome = 'kept' | 'lost' | 'unsure';
 
-/** Outcome of a claim. */
 export type ClaimOutcome =
   /** Earlier owners can no longer write; carries the entries that the replicas hold. */
   | { readonly kind: 'claimed'; readonly entries: readonly JournalEntry[] }
@@ -80,8 +79,8 @@
       if (answer?.kind !== 'granted') continue;
       granted += 1;
       // Entries of newer builds are ignored and stay on the replicas.
-      const known = answer.entries.filter(isKnownEntry);
-      for (const entry of known) entries.set(keyOfEntry(entry), entry);
+      const knownEntries = answer.entries.filter(isKnownEntry);
+      for (const entry of knownEntries) entries.set(keyOfEntry(entry), entry);
     }
     if (granted > 0) return { kind: 'claimed', entries: [...entries.values()] };
     return { kind: otherDisks === answers.length ? 'disks-gone' : 'silent' };
--- a/src/journal/journal-entries.ts
+++ b/src/journal/journal-entries.ts
@@ -19,7 +19,6 @@
   openRecord({ kind: z.literal('ended') }),
 ]);
 
-/** One entry of a job. */
 export type JournalEntry = z.infer<typeof KNOWN_ENTRY>;
 
 const KNOWN_KINDS: ReadonlySet<string> = new Set<JournalEntry['kind']>([
@@ -72,7 +71,6 @@
   /** The disk rejected the write. */
   | { readonly kind: 'unwritable' };
 
-/** A request to a replica. */
 export type JournalRequest =
   /** Makes the sender the holder of the job; answered with the job's entries. */
   | {
--- a/src/journal/journal-file.ts
+++ b/src/journal/journal-file.ts
@@ -112,14 +112,14 @@
 
   /** Starts a new file with these changes only, and then removes the old files. */
   async rewrite(changes: readonly JournalChange[]): Promise<void> {
-    const old = await journalNames(this.folder);
+    const previousFiles = await journalNames(this.folder);
     this.fileNumber += 1;
     const name = `journal-${String(this.fileNumber).padStart(NUMBER_DIGITS, '0')}.log`;
     const handle = await open(path.join(this.folder, name), 'w');
     this.size = 0;
     try {
-      const first = { kind: 'disk', disk: this.disk, format: OWN_FORMAT } as const;
-      await this.writeLines(handle, [first, ...this.unread, ...changes]);
+      const diskLine = { kind: 'disk', disk: this.disk, format: OWN_FORMAT } as const;
+      await this.writeLines(handle, [diskLine, ...this.unread, ...changes]);
     } catch (error) {
       await handle.close().catch(() => undefined);
       await rm(path.join(this.folder, name), { force: true });
@@ -127,7 +127,8 @@
     }
     await this.handle?.close().catch(() => undefined);
     this.handle = handle;
-    for (const before of old) await rm(path.join(this.folder, before), { force: true });
+    for (const previousFile of previousFiles)
+      await rm(path.join(this.folder, previousFile), { force: true });
   }
 
   async close(): Promise<void> {
--- a/src/journal/journal-process.ts
+++ b/src/journal/journal-process.ts
@@ -8,7 +8,6 @@
 import { JournalReplica } from './journal-replica.js';
 import { ReplicaRegistration } from './replica-registration.js';
 
-/** Options of {@link JournalProcess}. */
 export interface JournalProcessOptions {
   readonly node: NodeId;
   readonly zone: ZoneName;
--- a/src/journal/journal-replica.ts
+++ b/src/journal/journal-replica.ts
@@ -22,7 +22,6 @@
 /** Time for which entries outlast the readability of their job. */
 const RETENTION_MARGIN: Milliseconds = 60_000;
 
-/** Options of {@link JournalReplica}. */
 export interface JournalReplicaOptions {
   readonly clock: Clock;
   readonly log: DecisionLog;
--- a/src/journal/journal-state.ts
+++ b/src/journal/journal-state.ts
@@ -34,26 +34,28 @@
 
   /** The holder that prevents another from writing; `undefined` if that one may write. */
   conflictingHolder(holder: JournalHolder): JournalHolder | undefined {
-    const known = this.jobs.get(holder.job)?.holder;
-    if (known === undefined || holder.term > known.term) return undefined;
-    return holder.term === known.term && holder.writer === known.writer ? undefined : known;
+    const currentHolder = this.jobs.get(holder.job)?.holder;
+    if (currentHolder === undefined || holder.term > currentHolder.term) return undefined;
+    return holder.term === currentHolder.term && holder.writer === currentHolder.writer
+      ? undefined
+      : currentHolder;
   }
 
   /** Whether a holder is already recorded as the one that writes its job. */
   isCurrentHolder(holder: JournalHolder): boolean {
-    const known = this.jobs.get(holder.job)?.holder;
-    return known?.term === holder.term && known.writer === holder.writer;
+    const currentHolder = this.jobs.get(holder.job)?.holder;
+    return currentHolder?.term === holder.term && currentHolder.writer === holder.writer;
   }
 
   /** Applies a change whose holder is known to have no {@link conflictingHolder}. */
   apply(change: JournalChange): void {
     const { holder } = change;
-    const known = this.jobs.get(holder.job) ?? { holder, changedAt: 0, entries: new Map() };
-    known.holder = holder;
-    known.changedAt = change.at;
-    if (change.kind === 'released') for (const key of change.keys) known.entries.delete(key);
-    else for (const entry of change.entries) known.entries.set(keyOfEntry(entry), entry);
-    this.jobs.set(holder.job, known);
+    const state = this.jobs.get(holder.job) ?? { holder, changedAt: 0, entries: new Map() };
+    state.holder = holder;
+    state.changedAt = change.at;
+    if (change.kind === 'released') for (const key of change.keys) state.entries.delete(key);
+    else for (const entry of change.entries) state.entries.set(keyOfEntry(entry), entry);
+    this.jobs.set(holder.job, state);
   }
 
   entriesOf(job: string): readonly JournalEntry[] {
--- a/src/journal/replica-directory.ts
+++ b/src/journal/replica-directory.ts
@@ -32,7 +32,6 @@
 /** Selects the replicas that accept writes, or all that may hold entries. */
 type ReplicaUse = 'write' | 'read';
 
-/** Options of {@link ReplicaDirectory}. */
 export interface ReplicaDirectoryOptions {
   readonly clock: Pick<Clock, 'now' | 'suspendedTime'>;
   /** Replicas per job: one more than the number of disks that may be lost at once. */
@@ -54,8 +53,8 @@
     if (!key.startsWith(REPLICA_PREFIX)) return;
     const node = key.slice(REPLICA_PREFIX.length);
     if (value === undefined) {
-      const known = this.replicas.get(node);
-      if (known !== undefined) known.expiredAt = suspendAwareTime(this.options.clock);
+      const replica = this.replicas.get(node);
+      if (replica !== undefined) replica.expiredAt = suspendAwareTime(this.options.clock);
       return;
     }
     const location = parseReplicaLocation(value);
--- a/src/journal/replica-location.ts
+++ b/src/journal/replica-location.ts
@@ -6,7 +6,6 @@
 /** Identity of a disk's content: an empty disk gets a new one. */
 export type DiskId = string;
 
-/** Schema of {@link ReplicaLocation}. */
 export const REPLICA_LOCATION = openRecord({
   node: z.string(),
   zone: z.string(),
--- a/src/journal/replica-registration.ts
+++ b/src/journal/replica-registration.ts
@@ -19,7 +19,6 @@
 /** Interval while the store does not answer; short, so that a reconnected zone soon has its journal. */
 const RETRY_INTERVAL: Milliseconds = 600;
 
-/** Options of {@link ReplicaRegistration}. */
 export interface ReplicaRegistrationOptions {
   readonly store: SharedStore;
   readonly location: ReplicaLocation;
@@ -38,8 +37,8 @@
   async run(): Promise<void> {
     const { clock } = this.options;
     while (!this.isStopped) {
-      const isDone = this.lease === NO_LEASE ? await this.register() : await this.renew();
-      await clock.sleep(isDone ? RENEWAL_INTERVAL : RETRY_INTERVAL);
+      const hasSucceeded = this.lease === NO_LEASE ? await this.register() : await this.renew();
+      await clock.sleep(hasSucceeded ? RENEWAL_INTERVAL : RETRY_INTERVAL);
     }
   }
 
--- a/src/journal/zone-journals.ts
+++ b/src/journal/zone-journals.ts
@@ -23,7 +23,6 @@
 /** The first term of a job; each later owner writes under a higher one. */
 export const FIRST_TERM = 1;
 
-/** Options of {@link ZoneJournals}. */
 export interface ZoneJournalsOptions {
   readonly port: PeerPort;
   readonly metrics: FleetMetrics;
@@ -119,8 +118,9 @@
     for (const outcome of answers) {
       if (outcome.kind !== 'answered') continue;
       for (const holder of outcome.answer.jobs) {
-        const known = holders.get(holder.job);
-        if (known === undefined || known.term < holder.term) holders.set(holder.job, holder);
+        const latestHolder = holders.get(holder.job);
+        if (latestHolder === undefined || latestHolder.term < holder.term)
+          holders.set(holder.job, holder);
       }
     }
     return [...holders.values()];
--- a/src/peers/keep-alive-agent.ts
+++ b/src/peers/keep-alive-agent.ts
@@ -1,7 +1,7 @@
 /** Pooled keep-alive connections. */
 import http from 'node:http';
 
-/** Where a process listens. */
+/** Host and port on which a process listens. */
 export interface HostAndPort {
   readonly host: string;
   readonly port: number;
@@ -14,8 +14,8 @@
   }
 
   /**
-   * Closes the idle connections to a place after a call to it timed out: they may all be dead, and
-   * each would let another call time out.
+   * Closes the idle connections to an address after a call to it timed out: they may all be dead,
+   * and each would let another call time out.
    */
   closeIdle(place: HostAndPort): void {
     for (const socket of this.freeSockets[this.getName(place)] ?? []) socket.destroy();
--- a/src/peers/peer-client.ts
+++ b/src/peers/peer-client.ts
@@ -68,7 +68,6 @@
     });
   }
 
-  /** Closes all connections. */
   stop(): void {
     this.agent.destroy();
   }
--- a/src/peers/peer-messages.ts
+++ b/src/peers/peer-messages.ts
@@ -18,7 +18,6 @@
 /** A request to a gateway or to a replica of a zone's journal. */
 export type PeerRequest = GatewayRequest | JournalRequest;
 
-/** A request to a gateway. */
 export type GatewayRequest =
   /** Whether this incarnation of the node is still running. */
   | { readonly kind: 'probe'; readonly owner: JobOwner }
@@ -78,7 +77,7 @@
   | { readonly kind: 'item-body'; readonly job: string; readonly item: string }
   /** Takes a job that its owner has just released. */
   | { readonly kind: 'take-job'; readonly job: string }
-  /** Waits for changes under a prefix of the shared store, as the node has seen them there. */
+  /** Waits for changes under a prefix of the shared store, from the receiver's own copy. */
   | {
       readonly kind: 'follow-prefix';
       readonly prefix: string;
@@ -87,7 +86,7 @@
       /** The sender is a relay: answer only from a watch on the store, not on another relay. */
       readonly forRelay?: boolean;
     }
-  /** Lists a prefix of the shared store, as the node has seen it there. */
+  /** Lists a prefix of the shared store, from the receiver's own copy. */
   | { readonly kind: 'list-prefix'; readonly prefix: string; readonly forRelay?: boolean }
   /** Stops the orders of a coordinator whose lock the sender holds or is about to acquire. */
   | { readonly kind: 'resign-coordinator' }
--- a/src/peers/peer-server.ts
+++ b/src/peers/peer-server.ts
@@ -47,8 +47,8 @@
   }
 
   private encode(answer: object): string {
-    const known = this.encodedAnswers.get(answer);
-    if (known !== undefined) return known;
+    const cachedBody = this.encodedAnswers.get(answer);
+    if (cachedBody !== undefined) return cachedBody;
     const body = stringify(answer);
     this.encodedAnswers.set(answer, body);
     return body;
--- a/src/peers/unsupported-kinds.ts
+++ b/src/peers/unsupported-kinds.ts
@@ -17,11 +17,11 @@
   /** Records an unsupported kind until the connection closes. */
   note(address: string, kind: string, connection: Socket): void {
     if (connection.destroyed) return;
-    const known = this.kinds.get(address) ?? new Set();
-    this.kinds.set(address, known.add(kind));
+    const unsupportedKinds = this.kinds.get(address) ?? new Set();
+    this.kinds.set(address, unsupportedKinds.add(kind));
     connection.once('close', () => {
-      known.delete(kind);
-      if (known.size === 0) this.kinds.delete(address);
+      unsupportedKinds.delete(kind);
+      if (unsupportedKinds.size === 0) this.kinds.delete(address);
     });
   }
 }
--- a/src/shared-store/prefix-mirror.ts
+++ b/src/shared-store/prefix-mirror.ts
@@ -14,7 +14,7 @@
   readonly revision: Revision;
 }
 
-/** Mirror of one prefix. */
+/** The items under one prefix and its recent changes, from which followers are answered. */
 export class PrefixMirror {
   private items: Map<string, StoreItem>;
   private changes: StoreChange[] = [];
@@ -57,8 +57,8 @@
   applyChanges(after: Revision, changes: readonly StoreChange[], revision: Revision): boolean {
     if (after > this.end) return false;
     this.lastSnapshot = undefined;
-    const known = this.end;
-    for (const change of changes) if (change.revision > known) this.apply(change);
+    const previousEnd = this.end;
+    for (const change of changes) if (change.revision > previousEnd) this.apply(change);
     this.end = Math.max(this.end, revision);
     this.removeOldest();
     return true;
--- a/src/shared-store/prefix-watcher.ts
+++ b/src/shared-store/prefix-watcher.ts
@@ -9,7 +9,6 @@
 import type { Milliseconds, Revision } from '../core/units.js';
 import type { SharedStore, StoreChange, StoreItem } from './shared-store.js';
 
-/** Options of {@link PrefixWatcher}. */
 export interface PrefixWatcherOptions {
   readonly store: SharedStore;
   readonly prefix: string;
@@ -46,7 +45,7 @@
 /** Emitted when calls to the store begin to fail, and when they succeed again. */
 export type WatchHealth = 'lost' | 'regained';
 
-/** Watcher of one prefix; runs until stopped. */
+/** Lists and watches one prefix until stopped, and retries failed calls. */
 export class PrefixWatcher {
   /** Batches of changes, in order. */
   readonly updates = new Subject<PrefixUpdate>();
@@ -54,7 +53,7 @@
   readonly health = new Subject<WatchHealth>();
   private readonly options: Required<PrefixWatcherOptions>;
   private isStopped = false;
-  private pendingWatch = new AbortController();
+  private watchAbort = new AbortController();
   private readonly knownRevisions = new Map<string, Revision>();
   /** Removed keys with the revision of their removal, because an older list may still contain them. */
   private readonly removedAt = new Map<string, Revision>();
@@ -65,7 +64,7 @@
   /** Whether changes may have been missed since the last list. */
   private hadLoss = false;
   /** Steady time at which the list is repeated. */
-  private confirmAt: Milliseconds | undefined;
+  private relistAt: Milliseconds | undefined;
 
   constructor(options: PrefixWatcherOptions) {
     this.options = { ...DEFAULTS, ...options };
@@ -85,7 +84,7 @@
 
   stop(): void {
     this.isStopped = true;
-    this.pendingWatch.abort();
+    this.watchAbort.abort();
   }
 
   /**
@@ -93,7 +92,7 @@
    * sent before an outage may never be answered.
    */
   restart(): void {
-    this.pendingWatch.abort();
+    this.watchAbort.abort();
   }
 
   private async listOnce(): Promise<Milliseconds> {
@@ -101,7 +100,7 @@
     if (outcome.kind === 'failed') return this.recordFailure();
     this.recordAnswer();
     this.isListed = true;
-    this.confirmAt = this.hadLoss ? performance.now() + this.options.confirmationDelay : undefined;
+    this.relistAt = this.hadLoss ? performance.now() + this.options.confirmationDelay : undefined;
     this.hadLoss = false;
     this.revision = outcome.revision;
     const changes = this.differences(outcome.items, outcome.revision);
@@ -111,8 +110,8 @@
 
   private async watchOnce(): Promise<Milliseconds> {
     const { store, prefix, coalesce } = this.options;
-    this.pendingWatch = new AbortController();
-    const { signal } = this.pendingWatch;
+    this.watchAbort = new AbortController();
+    const { signal } = this.watchAbort;
     const outcome = await store.watch(prefix, this.revision, this.nextWait(), signal);
     if (signal.aborted) return 0;
     if (outcome.kind === 'failed') return this.recordFailure();
@@ -121,7 +120,7 @@
       this.relistAfterLoss();
       return 0;
     }
-    if (this.timeToConfirm() <= 0) this.isListed = false;
+    if (this.timeUntilRelist() <= 0) this.isListed = false;
     this.revision = Math.max(this.revision, outcome.revision);
     const changes = outcome.changes.filter((change) => this.recordIfNew(change));
     if (changes.length === 0) return 0;
@@ -130,11 +129,11 @@
   }
 
   private nextWait(): Milliseconds {
-    return Math.max(1, Math.min(this.options.wait, Math.ceil(this.timeToConfirm())));
+    return Math.max(1, Math.min(this.options.wait, Math.ceil(this.timeUntilRelist())));
   }
 
-  private timeToConfirm(): Milliseconds {
-    return (this.confirmAt ?? Number.POSITIVE_INFINITY) - performance.now();
+  private timeUntilRelist(): Milliseconds {
+    return (this.relistAt ?? Number.POSITIVE_INFINITY) - performance.now();
   }
 
   private relistAfterLoss(): void {
@@ -156,9 +155,9 @@
   }
 
   private differences(items: readonly StoreItem[], listRevision: Revision): StoreChange[] {
-    const present = new Set(items.map((item) => item.key));
+    const listedKeys = new Set(items.map((item) => item.key));
     const removals = [...this.knownRevisions]
-      .filter(([key, revision]) => !present.has(key) && revision <= listRevision)
+      .filter(([key, revision]) => !listedKeys.has(key) && revision <= listRevision)
       .map(([key]) => ({ key, value: undefined, revision: listRevision }));
     for (const { key } of removals) this.knownRevisions.delete(key);
     const updates = items.filter((item) => this.recordIfNew(item));
--- a/src/shared-store/shared-store.ts
+++ b/src/shared-store/shared-store.ts
@@ -45,7 +45,6 @@
   | { readonly kind: 'items'; readonly items: readonly StoreItem[]; readonly revision: Revision }
   | StoreFailure;
 
-/** Outcome of one watch call. */
 export type StoreWatchOutcome =
   | {
       readonly kind: 'changes';
--- a/test/journal/job-journal.test.ts
+++ b/test/journal/job-journal.test.ts
@@ -22,43 +22,47 @@
 
 t.test('one replica is enough to stop the previous owner from writing', async (t) => {
   const zone = await JournalZone.open(t);
-  const first = zone.journals('node-1/life-1').openNew('job') as JobJournal;
-  await first.claim();
-  await first.append([page(0)]);
+  const firstJournal = zone.journals('node-1/life-1').openNew('job') as JobJournal;
+  await firstJournal.claim();
+  await firstJournal.append([page(0)]);
   for (const address of zone.addresses.slice(1)) zone.unreachable.add(address);
-  const next = zone.journals('node-2/life-2').open('job', first.replicas, 2);
-  t.same(await next.claim(), { kind: 'claimed', entries: [page(0)] });
+  const nextJournal = zone.journals('node-2/life-2').open('job', firstJournal.replicas, 2);
+  t.same(await nextJournal.claim(), { kind: 'claimed', entries: [page(0)] });
   zone.unreachable.clear();
-  t.equal(await first.append([page(1)]), 'lost');
+  t.equal(await firstJournal.append([page(1)]), 'lost');
 });
 
 t.test('only one of two nodes with the same submission claims the job', async (t) => {
   const zone = await JournalZone.open(t);
-  const one = zone.journals('node-1/life-1').openNew('job') as JobJournal;
-  const other = zone.journals('node-2/life-2').openNew('job') as JobJournal;
-  t.equal((await one.claim()).kind, 'claimed');
-  t.equal((await other.claim()).kind, 'held-elsewhere');
-  t.equal(await other.append([page(0)]), 'lost');
+  const claimant = zone.journals('node-1/life-1').openNew('job') as JobJournal;
+  const rival = zone.journals('node-2/life-2').openNew('job') as JobJournal;
+  t.equal((await claimant.claim()).kind, 'claimed');
+  t.equal((await rival.claim()).kind, 'held-elsewhere');
+  t.equal(await rival.append([page(0)]), 'lost');
 });
 
 t.test('no entry is lost while one disk survives', async (t) => {
   const zone = await JournalZone.open(t);
-  const [one = '', two = '', three = ''] = zone.addresses;
-  const first = zone.journals('node-1/life-1').openNew('job') as JobJournal;
-  await first.claim();
-  await first.append([page(0)]);
-  await zone.restart(one, 'empty');
-  await zone.restart(two, 'empty');
-  t.equal(await first.append([page(1)]), 'unsure', 'an empty disk does not belong to the job');
-  const next = zone.journals('node-2/life-2').open('job', first.replicas, 2);
-  const claim = await next.claim();
+  const [address1 = '', address2 = '', address3 = ''] = zone.addresses;
+  const firstJournal = zone.journals('node-1/life-1').openNew('job') as JobJournal;
+  await firstJournal.claim();
+  await firstJournal.append([page(0)]);
+  await zone.restart(address1, 'empty');
+  await zone.restart(address2, 'empty');
+  t.equal(
+    await firstJournal.append([page(1)]),
+    'unsure',
+    'an empty disk does not belong to the job',
+  );
+  const nextJournal = zone.journals('node-2/life-2').open('job', firstJournal.replicas, 2);
+  const claim = await nextJournal.claim();
   t.equal(claim.kind, 'claimed');
   t.ok(claim.kind === 'claimed' && claim.entries.some((entry) => entry.kind === 'page'));
-  zone.unreachable.add(three);
-  const later = zone.journals('node-3/life-3').open('job', first.replicas, 3);
+  zone.unreachable.add(address3);
+  const later = zone.journals('node-3/life-3').open('job', firstJournal.replicas, 3);
   t.equal((await later.claim()).kind, 'silent', 'the remaining disk may hold entries');
   zone.unreachable.clear();
-  await zone.restart(three, 'empty');
+  await zone.restart(address3, 'empty');
   t.equal((await later.claim()).kind, 'disks-gone');
 });
 
--- a/test/journal/journal-file.test.ts
+++ b/test/journal/journal-file.test.ts
@@ -30,12 +30,15 @@
 
 t.test('changes and the disk identity survive a restart', async (t) => {
   const folder = temporaryFolder(t);
-  const first = await openFolder(folder);
-  await first.file.append([held(0)]);
-  await first.file.append([held(1), { kind: 'released', holder: HOLDER, keys: ['page/0'], at: 2 }]);
-  await first.file.close();
+  const firstOpening = await openFolder(folder);
+  await firstOpening.file.append([held(0)]);
+  await firstOpening.file.append([
+    held(1),
+    { kind: 'released', holder: HOLDER, keys: ['page/0'], at: 2 },
+  ]);
+  await firstOpening.file.close();
   const second = await openFolder(folder);
-  t.equal(second.file.disk, first.file.disk);
+  t.equal(second.file.disk, firstOpening.file.disk);
   t.same(second.changes, [
     held(0),
     held(1),
@@ -46,9 +49,9 @@
 
 t.test('a torn end is ignored, and nothing is appended to it', async (t) => {
   const folder = temporaryFolder(t);
-  const first = await openFolder(folder);
-  await first.file.append([held(0)]);
-  await first.file.close();
+  const firstOpening = await openFolder(folder);
+  await firstOpening.file.append([held(0)]);
+  await firstOpening.file.close();
   const lastLine = readFileSync(onlyFile(folder), 'utf8').trimEnd().split('\n').at(-1) ?? '';
   for (const tear of [
     lastLine.slice(0, 30),
@@ -70,9 +73,9 @@
 
 t.test('a crash between writing a new file and removing the old one loses nothing', async (t) => {
   const folder = temporaryFolder(t);
-  const first = await openFolder(folder);
-  await first.file.append([held(0)]);
-  await first.file.close();
+  const firstOpening = await openFolder(folder);
+  await firstOpening.file.append([held(0)]);
+  await firstOpening.file.close();
   const old = onlyFile(folder);
   const text = readFileSync(old);
   const second = await openFolder(folder);
@@ -80,16 +83,16 @@
   await second.file.close();
   writeFileSync(old, text);
   const third = await openFolder(folder);
-  t.equal(third.file.disk, first.file.disk);
+  t.equal(third.file.disk, firstOpening.file.disk);
   t.same(third.changes.at(-1), held(1));
   await third.file.close();
 });
 
 t.test('an empty folder gets a new disk identity', async (t) => {
-  const first = await openFolder(temporaryFolder(t));
+  const firstOpening = await openFolder(temporaryFolder(t));
   const second = await openFolder(temporaryFolder(t));
-  t.not(first.file.disk, second.file.disk);
-  await first.file.close();
+  t.not(firstOpening.file.disk, second.file.disk);
+  await firstOpening.file.close();
   await second.file.close();
 });
 
@@ -120,12 +123,12 @@
     kind: 'refused',
     holder: HOLDER,
   });
-  const next = { ...otherWriter, term: 2 };
-  t.same(await after.answer({ kind: 'journal-claim', disk, holder: next }), {
+  const nextHolder = { ...otherWriter, term: 2 };
+  t.same(await after.answer({ kind: 'journal-claim', disk, holder: nextHolder }), {
     kind: 'granted',
     entries: [CREATED, page(1)],
   });
-  t.match(await after.answer(append), { kind: 'refused', holder: next });
-  t.same(await after.answer({ kind: 'journal-list' }), { disk, jobs: [next] });
+  t.match(await after.answer(append), { kind: 'refused', holder: nextHolder });
+  t.same(await after.answer({ kind: 'journal-list' }), { disk, jobs: [nextHolder] });
   await after.stop();
 });
--- a/test/journal/older-build.test.ts
+++ b/test/journal/older-build.test.ts
@@ -15,7 +15,7 @@
 import { JournalZone, openReplica, page, temporaryFolder } from './journal-fixtures.js';
 
 const HOLDER = { job: 'job', term: 1, writer: 'node-1/life-1' };
-const NEXT = { job: 'job', term: 2, writer: 'node-2/life-2' };
+const NEXT_HOLDER = { job: 'job', term: 2, writer: 'node-2/life-2' };
 
 /** An entry of a later build. */
 const LATER_ENTRY = { kind: 'moved', key: 'moved/1', to: 'zone-2' } as unknown as JournalEntry;
@@ -49,7 +49,7 @@
 }
 
 async function entriesAt(replica: JournalReplica): Promise<unknown> {
-  const request = { kind: 'journal-claim', disk: replica.disk, holder: NEXT } as const;
+  const request = { kind: 'journal-claim', disk: replica.disk, holder: NEXT_HOLDER } as const;
   return replica.answer(request);
 }
 
@@ -94,8 +94,8 @@
 
 t.test('reading stops at a torn line of a later build', async (t) => {
   const folder = temporaryFolder(t);
-  const first = await openReplica(folder);
-  await first.stop();
+  const firstReplica = await openReplica(folder);
+  await firstReplica.stop();
   appendFileSync(fileIn(folder), line({ kind: 'moved', job: 'job' }).slice(0, -9));
   appendFileSync(fileIn(folder), `\n${line({ kind: 'held', holder: HOLDER, entries: [], at: 1 })}`);
   const { replica, lines } = await openWithLog(folder);
@@ -106,15 +106,15 @@
 
 t.test('an entry of a later build is stored, and released only under its own key', async (t) => {
   const folder = temporaryFolder(t);
-  const first = await openReplica(folder);
-  const append = { kind: 'journal-append', disk: first.disk, holder: HOLDER } as const;
-  await first.answer({ ...append, entries: [page(0), LATER_ENTRY] });
-  await first.stop();
+  const firstReplica = await openReplica(folder);
+  const append = { kind: 'journal-append', disk: firstReplica.disk, holder: HOLDER } as const;
+  await firstReplica.answer({ ...append, entries: [page(0), LATER_ENTRY] });
+  await firstReplica.stop();
 
   const { replica, lines } = await openWithLog(folder);
   t.match(await entriesAt(replica), { kind: 'granted', entries: [page(0), LATER_ENTRY] });
   t.ok(lines.some((text) => text.includes('"journal-entries-unknown"')));
-  const release = { kind: 'journal-release', disk: replica.disk, holder: NEXT } as const;
+  const release = { kind: 'journal-release', disk: replica.disk, holder: NEXT_HOLDER } as const;
   await replica.answer({ ...release, keys: ['page/0', 'moved'] });
   t.match(await entriesAt(replica), { kind: 'granted', entries: [LATER_ENTRY] });
   await replica.answer({ ...release, keys: ['moved/1'] });
@@ -127,8 +127,8 @@
   const options = { port: zone, metrics: new FleetMetrics(), replicas: zone.locations };
   const before = new JobJournal({ ...options, holder: HOLDER });
   t.equal(await before.append([page(0), LATER_ENTRY]), 'kept');
-  const next = new JobJournal({ ...options, holder: NEXT });
-  t.same(await next.claim(), { kind: 'claimed', entries: [page(0)] });
+  const nextJournal = new JobJournal({ ...options, holder: NEXT_HOLDER });
+  t.same(await nextJournal.claim(), { kind: 'claimed', entries: [page(0)] });
 });
 
 t.test('builds of both formats read replica records of each other', async (t) => {
--- a/test/journal/replica-directory.test.ts
+++ b/test/journal/replica-directory.test.ts
@@ -50,9 +50,9 @@
     for (const location of zone.locations)
       put(`${REPLICA_PREFIX}${location.node}`, JSON.stringify(location));
     t.equal(directory.groupFor('job', ZONE)?.length, 3);
-    const [first] = zone.locations;
+    const [replica] = zone.locations;
     directory.applyChange({
-      key: `${REPLICA_PREFIX}${first?.node}`,
+      key: `${REPLICA_PREFIX}${replica?.node}`,
       value: undefined,
       revision: 2,
     });
--- a/test/peers/peer-server.test.ts
+++ b/test/peers/peer-server.test.ts
@@ -9,7 +9,7 @@
   const faults: unknown[] = [];
   const handler: PeerHandler = {
     answer: async (request) => {
-      if (request.kind === 'probe') throw new Error('not now');
+      if (request.kind === 'probe') throw new Error('simulated failure of the handler');
       return { isTaken: true };
     },
   };
@@ -24,7 +24,7 @@
   t.same(await client.request<'probe'>(address, { kind: 'probe', owner: OWNER }, 1_000), {
     kind: 'silent',
   });
-  t.match(faults, [{ message: 'not now' }]);
+  t.match(faults, [{ message: 'simulated failure of the handler' }]);
   t.same(await client.request<'take-job'>(address, { kind: 'take-job', job: 'job' }, 1_000), {
     kind: 'answered',
     answer: { isTaken: true },
