--- a/src/singleton-tasks/cloud-port.ts
+++ b/src/singleton-tasks/cloud-port.ts
@@ -27,7 +27,6 @@
   readonly desiredCount: number;
 }
 
-/** Outcome of a call. */
 export type CloudCallOutcome =
   | 'accepted'
   /** Another holder acted under a higher token. */
--- a/src/singleton-tasks/usage-counts.ts
+++ b/src/singleton-tasks/usage-counts.ts
@@ -26,10 +26,10 @@
 
   /** Merges the totals of a source; of two totals of one window, the larger is the later one. */
   merge(source: UsageSource, counts: WindowCounts): void {
-    const known = this.bySource.get(source) ?? new Map<WindowNumber, TenantCounts>();
-    this.bySource.set(source, known);
+    const sourceTotals = this.bySource.get(source) ?? new Map<WindowNumber, TenantCounts>();
+    this.bySource.set(source, sourceTotals);
     for (const [window, totals] of counts) {
-      if (sumOf(totals) >= sumOf(known.get(window))) known.set(window, totals);
+      if (sumOf(totals) >= sumOf(sourceTotals.get(window))) sourceTotals.set(window, totals);
     }
   }
 
@@ -58,7 +58,7 @@
     return recent.filter(({ counts }) => counts.size > 0);
   }
 
-  /** Removes the windows before one. */
+  /** Removes the windows before a given window. */
   removeBefore(window: WindowNumber): void {
     for (const [source, counts] of this.bySource) {
       for (const number of counts.keys()) if (number < window) counts.delete(number);
--- a/src/singleton-tasks/usage-reporter.ts
+++ b/src/singleton-tasks/usage-reporter.ts
@@ -33,7 +33,6 @@
   return Math.ceil((MAX_LATENESS_FACTOR * dueAfter) / length);
 }
 
-/** Options of {@link UsageReporter}. */
 export interface UsageReporterOptions {
   readonly port: CloudPort;
   readonly lock: SingletonTaskLock;
@@ -113,8 +112,8 @@
     const read = await records.read(this.oldestWindow);
     if (read === undefined) return undefined;
     for (const [number, report] of read.reports) this.stored.set(number, report);
-    const known = this.stored.get(window);
-    if (known !== undefined) return known;
+    const storedReport = this.stored.get(window);
+    if (storedReport !== undefined) return storedReport;
     for (const counted of read.counts) gathered.merge(counted.source, counted.counts);
     gathered.merge(source, meter.totals());
     const outcome = await records.storeReport(
--- a/src/singleton-tasks/usage-sender.ts
+++ b/src/singleton-tasks/usage-sender.ts
@@ -1,6 +1,6 @@
 /**
  * Sends this node's request counts to the holder of the singleton tasks. Messages carry totals, so
- * lost and duplicate ones do no harm; a new holder receives all retained counts.
+ * a lost or duplicate message has no effect on them; a new holder receives all retained counts.
  */
 import type { NodeId } from '../core/identity.js';
 import { type Milliseconds, type Revision, SECOND } from '../core/units.js';
@@ -21,14 +21,13 @@
 /** Ensures that the counts of a window arrive before it is reported. */
 const MAX_SEND_INTERVAL: Milliseconds = 2_500;
 
-/** The holder of the singleton tasks, as far as this node knows. */
+/** The holder of the singleton tasks according to this node's cached state. */
 export interface SingletonTaskHolder {
   readonly holder: NodeId | undefined;
   /** Changes with each holder. */
   readonly term: Revision;
 }
 
-/** Options of {@link UsageSender}. */
 export interface UsageSenderOptions {
   readonly meter: UsageMeter;
   /** Counts that this node received from others as the holder of the singleton tasks. */
--- a/src/singleton-tasks/worker-scaler.ts
+++ b/src/singleton-tasks/worker-scaler.ts
@@ -25,7 +25,6 @@
   ): ReadonlyMap<ZoneName, number>;
 }
 
-/** Options of {@link WorkerScaler}. */
 export interface WorkerScalerOptions {
   readonly port: CloudPort;
   readonly lock: SingletonTaskLock;
@@ -77,8 +76,8 @@
     for (const service of services()) {
       const { scaling } = service;
       if (scaling === undefined) continue;
-      const present = (zone: ZoneName): number => this.present(service.name, zone);
-      for (const [zone, desiredCount] of policy.desiredWorkers(scaling, present)) {
+      const availableIn = (zone: ZoneName): number => this.countAvailable(service.name, zone);
+      for (const [zone, desiredCount] of policy.desiredWorkers(scaling, availableIn)) {
         if (!isEvacuated(zone) && this.isDue(service.name, zone, desiredCount, scaling)) {
           return { service: service.name, zone, desiredCount };
         }
@@ -97,10 +96,10 @@
     if (placed?.desiredCount !== desiredCount || placed.acceptedAt === undefined) return true;
     const arrivalTime = limits.bootTime + ARRIVAL_MARGIN;
     if (this.options.clock.now() - placed.acceptedAt < arrivalTime) return false;
-    return this.present(service, zone) < desiredCount;
+    return this.countAvailable(service, zone) < desiredCount;
   }
 
-  private present(service: string, zone: ZoneName): number {
+  private countAvailable(service: string, zone: ZoneName): number {
     const workers = this.options.registry.available(service);
     return workers.filter(({ record }) => record.zone === zone).length;
   }
@@ -110,7 +109,7 @@
     const fencingToken = lock.beginOrder();
     if (fencingToken === undefined) return;
     const { service, zone, desiredCount } = order;
-    const present = this.present(service, zone);
+    const availableCount = this.countAvailable(service, zone);
     const caller = { holder: node, fencingToken };
     const outcome = await port.orderWorkers(order, caller).finally(() => lock.endOrder());
     metrics.count('duty_calls', { duty: 'scaling', outcome });
@@ -118,7 +117,7 @@
       service,
       workerZone: zone,
       wanted: desiredCount,
-      present,
+      present: availableCount,
       fencingToken,
       outcome,
     };
--- a/test/platform-adapter/engine-client.test.ts
+++ b/test/platform-adapter/engine-client.test.ts
@@ -216,17 +216,17 @@
 });
 
 t.test('a cancelled request closes its connection', async (t) => {
-  let closed = (): void => {};
-  const isClosed = new Promise<void>((resolve) => {
-    closed = resolve;
+  let resolveClosed = (): void => {};
+  const whenClosed = new Promise<void>((resolve) => {
+    resolveClosed = resolve;
   });
-  const silent: Script = (_id, socket) => socket.once('close', closed);
+  const silent: Script = (_id, socket) => socket.once('close', resolveClosed);
   const worker = await startWorker(t, silent);
   const abort = new AbortController();
   const outcome = worker.send({}, abort.signal);
   setTimeout(() => abort.abort(), 20);
   t.match(await outcome, { kind: 'failed', cause: 'cancelled' });
-  await isClosed;
+  await whenClosed;
 });
 
 t.test('a connection with a response before the end of the request is not reused', async (t) => {
--- a/test/platform-adapter/ingress.test.ts
+++ b/test/platform-adapter/ingress.test.ts
@@ -113,7 +113,7 @@
   return { store, node, engine, call };
 }
 
-async function configured(
+async function startConfiguredGateway(
   test: Pick<typeof t, 'teardown'>,
   ...scripts: Script[]
 ): Promise<Fixture> {
@@ -149,7 +149,7 @@
 });
 
 t.test('requests are routed; an unmatched path is not found', async (t) => {
-  const { call, engine } = await configured(t, answer('reply'));
+  const { call, engine } = await startConfiguredGateway(t, answer('reply'));
   const found = await call('POST', '/look/x?y=1', 'question', { 'x-wardwing-deadline-ms': '900' });
   t.equal(found.status, 200);
   t.equal(found.body, 'reply');
@@ -160,7 +160,7 @@
 
 t.test('a job is submitted, run, read, queried for an item body and cancelled', async (t) => {
   const stream = answer(events(0, 'ab'), { isStream: true });
-  const { call, engine } = await configured(t, stream);
+  const { call, engine } = await startConfiguredGateway(t, stream);
   const accepted = await call('POST', '/draw/submit', submissionBody(1), {
     'x-wardwing-request-id': 'job-1',
   });
@@ -189,7 +189,7 @@
 });
 
 t.test('invalid input is rejected and has no effect', async (t) => {
-  const { call, store } = await configured(t);
+  const { call, store } = await startConfiguredGateway(t);
   t.equal((await call('POST', '/draw/submit', 'not json')).status, 400);
   const missing = await call('POST', '/draw/submit', '{"requests":[{"path":"/draw/1"}]}');
   t.equal(missing.status, 400);
@@ -201,7 +201,7 @@
 });
 
 t.test('an invalid configuration leaves the last valid one in force', async (t) => {
-  const { call, store, node } = await configured(t, answer('one'), answer('two'));
+  const { call, store, node } = await startConfiguredGateway(t, answer('one'), answer('two'));
   store.write('op/config', 'not a configuration');
   store.write('op/version/m', '{"model":"m","version":2}');
   store.write('op/config', JSON.stringify({ ...CONFIGURATION, version: 2 }));
@@ -213,7 +213,7 @@
 t.test('an item with a scorer is listed with the signature of its score only', async (t) => {
   const stream = answer(events(0, 'ab'), { isStream: true, signature: 'of the text' });
   const score = answer('judged', { signature: 'of the score' });
-  const { call, engine } = await configured(t, stream, score);
+  const { call, engine } = await startConfiguredGateway(t, stream, score);
   const job = JSON.parse(submissionBody(1));
   const body = Buffer.from('judge').toString('base64');
   job.requests[0].scorer = { id: 'score-1', host: 'h', path: '/look/score', body };
@@ -232,7 +232,7 @@
 });
 
 t.test('an invalid scorer is rejected with the name of its field', async (t) => {
-  const { call } = await configured(t);
+  const { call } = await startConfiguredGateway(t);
   const job = JSON.parse(submissionBody(1));
   job.requests[0].scorer = { id: 'score-1', host: 'h', path: 'no slash' };
   const refused = await call('POST', '/draw/submit', JSON.stringify(job));
@@ -257,7 +257,7 @@
   test: Pick<typeof t, 'teardown'>,
   ...scripts: Script[]
 ): Promise<Fixture> {
-  const fixture = await configured(test, ...scripts);
+  const fixture = await startConfiguredGateway(test, ...scripts);
   fixture.store.write('op/config', JSON.stringify(WITH_TENANTS));
   await eventually(() => fixture.node.configuration.version === 4);
   return fixture;
--- a/test/singleton-tasks/usage-report-property.test.ts
+++ b/test/singleton-tasks/usage-report-property.test.ts
@@ -82,7 +82,7 @@
   }
 
   private hold(index: number): void {
-    for (const one of this.nodes) one.lock.token = undefined;
+    for (const node of this.nodes) node.lock.token = undefined;
     this.grantLock(index);
   }
 
@@ -96,7 +96,7 @@
     const end = this.fleet.clock.time + duration;
     while (this.fleet.clock.time < end) {
       this.fleet.clock.time += 200;
-      for (const one of this.nodes) one.reporter.tick();
+      for (const node of this.nodes) node.reporter.tick();
       for (let turn = 0; turn < 4; turn += 1) await new Promise((go) => setImmediate(go));
     }
   }
@@ -109,13 +109,16 @@
     async (actions) => {
       const world = new World();
       for (const action of actions) await world.perform(action);
-      const first = new Map<number, string>();
+      const firstReports = new Map<number, string>();
       for (const { report } of world.fleet.cloud.reports) {
         const text = JSON.stringify(report);
-        const before = first.get(report.window) ?? text;
-        first.set(report.window, before);
+        const before = firstReports.get(report.window) ?? text;
+        firstReports.set(report.window, before);
         compared += 1;
-        if (before !== text) throw new Error(`window ${report.window}: ${before}, then ${text}`);
+        if (before !== text)
+          throw new Error(
+            `window ${report.window} was reported with different counts: ${before}, then ${text}`,
+          );
       }
     },
   );
--- a/test/singleton-tasks/usage-reporter.test.ts
+++ b/test/singleton-tasks/usage-reporter.test.ts
@@ -40,13 +40,13 @@
 
 t.test('a later holder sends the stored report instead of its own counts', async (t) => {
   const fleet = new UsageFleet();
-  const first = fleet.node('one');
-  first.meter.noteBegun('north', fleet.clock.now());
+  const firstHolder = fleet.node('one');
+  firstHolder.meter.noteBegun('north', fleet.clock.now());
   fleet.cloud.outcomes = Array(60).fill('unknown');
-  await fleet.pass(WINDOW + DUE_AFTER, first);
+  await fleet.pass(WINDOW + DUE_AFTER, firstHolder);
   const sent = fleet.cloud.reports.length;
   t.ok(sent > 2, 'a call without an answer is retried');
-  first.lock.token = undefined;
+  firstHolder.lock.token = undefined;
   const second = fleet.node('two');
   second.lock.token = 9;
   second.meter.noteBegun('north', 1_500);
@@ -60,12 +60,12 @@
 
 t.test('two simultaneous holders send identical reports', async (t) => {
   const fleet = new UsageFleet();
-  const first = fleet.node('one');
+  const firstHolder = fleet.node('one');
   const second = fleet.node('two');
-  first.meter.noteBegun('north', fleet.clock.now());
+  firstHolder.meter.noteBegun('north', fleet.clock.now());
   second.meter.noteBegun('south', fleet.clock.now());
   fleet.clock.time = WINDOW + DUE_AFTER / 2 + 100;
-  await Promise.all([fleet.pass(500, first), fleet.pass(500, second)]);
+  await Promise.all([fleet.pass(500, firstHolder), fleet.pass(500, second)]);
   const texts = new Set(fleet.cloud.reports.map(({ report }) => JSON.stringify(report)));
   t.equal(fleet.cloud.reports.length, 2);
   t.equal(texts.size, 1);
@@ -94,10 +94,10 @@
 
 t.test('counts of open windows survive a change of the holder', async (t) => {
   const fleet = new UsageFleet();
-  const first = fleet.node('one');
-  first.gathered.merge('gone-life', new Map([[0, new Map([['north', 4]])]]));
-  first.meter.noteBegun('north', fleet.clock.now());
-  await fleet.pass(2_500, first);
+  const firstHolder = fleet.node('one');
+  firstHolder.gathered.merge('gone-life', new Map([[0, new Map([['north', 4]])]]));
+  firstHolder.meter.noteBegun('north', fleet.clock.now());
+  await fleet.pass(2_500, firstHolder);
   const second = fleet.node('two');
   await fleet.pass(WINDOW + DUE_AFTER / 2, second);
   t.match(fleet.cloud.reports[0]?.report, { window: 0, counts: { north: 5 } });
