--- a/src/jobs/item-dispatcher.ts
+++ b/src/jobs/item-dispatcher.ts
@@ -17,7 +17,6 @@
 import { PlacementRound } from './placement-round.js';
 import { describeRun, RunMigrator } from './run-migrator.js';
 
-/** Options of {@link ItemDispatcher}. */
 export interface ItemDispatcherOptions extends SendingOptions {
   /** The routes in force; `undefined` before the first configuration. */
   readonly routes: () => RouteMatcher | undefined;
@@ -126,7 +125,7 @@
     for (const job of jobsByAge) {
       if (!job.isOpen || (job.isUnconfirmed && !this.options.isStoreUnreachable())) continue;
       const waiting = job.waiting(now);
-      waiting.sort(byUrgency);
+      waiting.sort(startedThenLongest);
       for (const entry of waiting) this.startRun(job, entry, routes, rounds, now);
     }
     this.scorer.dispatch(jobsByAge, routes);
@@ -260,7 +259,7 @@
 }
 
 /** Orders items that already have events first, then by descending expected length. */
-function byUrgency(left: OwnedItem, right: OwnedItem): number {
+function startedThenLongest(left: OwnedItem, right: OwnedItem): number {
   const startedFirst = Number(right.progress.eventCount > 0) - Number(left.progress.eventCount > 0);
   return startedFirst === 0 ? right.item.expectedLength - left.item.expectedLength : startedFirst;
 }
--- a/src/jobs/item-placement.ts
+++ b/src/jobs/item-placement.ts
@@ -96,8 +96,8 @@
   );
   return (worker) => {
     const relativeInterval = (worker.eventInterval ?? median) / median;
-    const occupied = worker.occupancy(now) / worker.record.slots;
+    const occupiedShare = worker.occupancy(now) / worker.record.slots;
     const promptBonus = worker.record.id === sharedPromptWorker ? SHARED_PROMPT_BONUS : 0;
-    return lengthWeight * relativeInterval + OCCUPANCY_WEIGHT * occupied - promptBonus;
+    return lengthWeight * relativeInterval + OCCUPANCY_WEIGHT * occupiedShare - promptBonus;
   };
 }
--- a/src/jobs/item-progress.ts
+++ b/src/jobs/item-progress.ts
@@ -63,7 +63,6 @@
     return 'added';
   }
 
-  /** Discards all events. */
   reset(): void {
     this.events = [];
     this.lastId = undefined;
@@ -77,7 +76,6 @@
     this.isTextComplete = true;
   }
 
-  /** Whether the text is complete. */
   get isComplete(): boolean {
     return this.isTextComplete;
   }
--- a/src/jobs/item-run.ts
+++ b/src/jobs/item-run.ts
@@ -17,6 +17,7 @@
   | 'impossible'
   /** The worker did not start the run; it is full, or unreachable. */
   | 'full'
+  /** Another worker has the address now. */
   | 'gone'
   /** The request was not sent, because a send rule excludes the worker. */
   | 'withheld'
--- a/src/jobs/item-scorer.ts
+++ b/src/jobs/item-scorer.ts
@@ -18,7 +18,6 @@
 import type { OwnedItem } from './owned-item.js';
 import type { OwnedJob } from './owned-job.js';
 
-/** Options of {@link ItemScorer}. */
 export interface ItemScorerOptions extends ItemDispatcherOptions {
   /** Called after a score call ends. */
   readonly onCallEnded: () => void;
--- a/src/jobs/item-work-cache.ts
+++ b/src/jobs/item-work-cache.ts
@@ -37,7 +37,6 @@
   readonly origin: JobOrigin;
 }
 
-/** Caches work by item id. */
 export class ItemWorkCache {
   private readonly entries = new Map<string, Entry>();
 
--- a/src/jobs/job-admission.ts
+++ b/src/jobs/job-admission.ts
@@ -9,7 +9,6 @@
 import { type JobSubmissions, tenantConflict } from './job-submissions.js';
 import { STORE_RETRY_AFTER } from './store-reads.js';
 
-/** Options of {@link JobAdmission}. */
 export interface JobAdmissionOptions {
   readonly store: JobStore;
   readonly reader: JobReader;
@@ -22,7 +21,6 @@
 /** Response to a rejected submission if another node may have accepted the job. */
 const MAY_BE_ACCEPTED = { kind: 'outcome_unknown', retryAfter: STORE_RETRY_AFTER } as const;
 
-/** Admits submitted jobs. */
 export class JobAdmission {
   constructor(private readonly options: JobAdmissionOptions) {}
 
--- a/src/jobs/job-listing.ts
+++ b/src/jobs/job-listing.ts
@@ -17,13 +17,13 @@
 /** Minimum interval once the job is closing, when the trainer waits for the last groups. */
 const MIN_CLOSING_LISTING_INTERVAL: Milliseconds = 120;
 
-/** Share of open items below which a job counts as closing. */
+/** A job counts as closing when a smaller share of its items than this is open. */
 const CLOSING_SHARE = 0.25;
 
-/** Age of the last ownership confirmation after which it is verified. */
+/** The ownership is verified again when its last confirmation is older than this. */
 const VERIFY_INTERVAL: Milliseconds = 1_200;
 
-/** Minimum wait for a cancellation or release, in polls and the interval between them. */
+/** Minimum wait for a cancellation or release: a number of polls, and their interval. */
 const MIN_WAIT_POLLS = 10;
 const WAIT_POLL_INTERVAL: Milliseconds = 50;
 
@@ -42,7 +42,6 @@
   readonly metrics?: FleetMetrics;
 }
 
-/** Options of {@link JobListing}. */
 export interface JobListingOptions {
   readonly spec: JobSpecification;
   /** The stored head; `undefined` until the store has the job. */
@@ -203,7 +202,7 @@
     );
   }
 
-  /** Verifies the ownership of the job now. */
+  /** Verifies the ownership without waiting for the verification interval. */
   verifyNow(): Promise<void> {
     return this.runSerially(() => this.verify());
   }
--- a/src/jobs/job-service.ts
+++ b/src/jobs/job-service.ts
@@ -24,7 +24,6 @@
 import { OwnedJobs, type OwnedJobsOptions } from './owned-jobs.js';
 import { STORE_RETRY_AFTER } from './store-reads.js';
 
-/** Options of {@link JobService}. */
 export interface JobServiceOptions extends OwnedJobsOptions {
   readonly reader: JobReader;
   readonly peers: JobPeers;
@@ -38,8 +37,11 @@
   readonly canRecover?: () => boolean;
 }
 
-/** Maximum age of the confirmation with which an owner reports that nothing more is listed. */
-const MAX_CONFIRMATION_AGE: Milliseconds = 700;
+/**
+ * An owner reports that no more results are listed only if its ownership was confirmed within this
+ * time.
+ */
+const MAX_END_OF_LIST_CONFIRMATION_AGE: Milliseconds = 700;
 
 /** Interval between scans for jobs that this node may no longer store. */
 const RESIDENCY_SCAN_INTERVAL: Milliseconds = 500;
@@ -133,7 +135,6 @@
     this.submissions.noteSuspended();
   }
 
-  /** Periodic work on owned jobs. */
   tick(): void {
     this.owned.tick();
     const now = this.options.clock.now();
@@ -187,10 +188,11 @@
     wait: Milliseconds,
     caller: CallerIdentity,
   ): Promise<ResultSlice | Failure> {
-    const own = this.owned.answerable(job);
-    if (own !== undefined) {
-      if (!mayAccess(caller, own.spec.tenant)) return this.deny(job, own.spec.tenant, caller);
-      return this.readOwned(own, after, wait, caller);
+    const ownedJob = this.owned.answerable(job);
+    if (ownedJob !== undefined) {
+      if (!mayAccess(caller, ownedJob.spec.tenant))
+        return this.deny(job, ownedJob.spec.tenant, caller);
+      return this.readOwned(ownedJob, after, wait, caller);
     }
     const read = await this.options.reader.listing(job, after, wait);
     if (read.kind === 'absent') return NO_SUCH_JOB;
@@ -200,10 +202,10 @@
     return sliceOf(read.value, after);
   }
 
-  /** The body of one item. */
+  /** Reads the request body of one item, at the owner or in the store. */
   async itemBody(job: string, item: string, caller: CallerIdentity): Promise<Buffer | Failure> {
-    const own = this.owned.get(job);
-    if (own === undefined) {
+    const ownedJob = this.owned.get(job);
+    if (ownedJob === undefined) {
       const reported = await this.options.peers.bodyAtOwner(job, item);
       if (reported !== undefined) {
         if (!mayAccess(caller, reported.tenant)) return this.deny(job, reported.tenant, caller);
@@ -211,9 +213,9 @@
       }
     }
     const read =
-      own === undefined
+      ownedJob === undefined
         ? await this.options.reader.specification(job)
-        : ({ kind: 'found', value: own.spec } as const);
+        : ({ kind: 'found', value: ownedJob.spec } as const);
     if (read.kind === 'absent') return NO_SUCH_JOB;
     if (read.kind === 'unavailable') return storeUnavailable();
     const { tenant, items } = read.value;
@@ -221,12 +223,12 @@
     return bodyOrAbsent(items.find((entry) => entry.id === item)?.body);
   }
 
-  /** The body of an item for another node, if this node owns or owned the job. */
+  /** Reads the request body of an item for another node, if this node owns or owned the job. */
   ownItemBody(job: string, item: string): PeerAnswers['item-body'] {
-    const own = this.owned.get(job);
-    if (own === undefined) return { isOwner: false };
-    const body = own.spec.items.find((entry) => entry.id === item)?.body;
-    return { isOwner: true, tenant: own.spec.tenant, body };
+    const ownedJob = this.owned.get(job);
+    if (ownedJob === undefined) return { isOwner: false };
+    const body = ownedJob.spec.items.find((entry) => entry.id === item)?.body;
+    return { isOwner: true, tenant: ownedJob.spec.tenant, body };
   }
 
   /** Takes over a job on request of another node; returns whether this node owns it now. */
@@ -259,12 +261,12 @@
     caller: CallerIdentity,
     isStillNeeded: StillNeeded,
   ): Promise<Failure | undefined> {
-    const own = this.owned.get(job);
-    if (own !== undefined && !mayAccess(caller, own.spec.tenant)) {
-      return this.deny(job, own.spec.tenant, caller);
+    const ownedJob = this.owned.get(job);
+    if (ownedJob !== undefined && !mayAccess(caller, ownedJob.spec.tenant)) {
+      return this.deny(job, ownedJob.spec.tenant, caller);
     }
-    if (own?.canCancel === true && (await own.cancel(isStillNeeded))) return undefined;
-    if (own === undefined && (await this.cancelAtLikelyOwner(job, caller))) return undefined;
+    if (ownedJob?.canCancel === true && (await ownedJob.cancel(isStillNeeded))) return undefined;
+    if (ownedJob === undefined && (await this.cancelAtLikelyOwner(job, caller))) return undefined;
     for (;;) {
       const read = await this.options.store.head(job);
       if (read.kind === 'absent') {
@@ -311,29 +313,29 @@
     }
   }
 
-  /** Results for another node, if this node can answer for the job. */
+  /** Reports results to another node, if this node can answer for the job. */
   async ownListing(
     job: string,
     after: number,
     wait: Milliseconds,
   ): Promise<PeerAnswers['job-results']> {
-    const own = this.owned.answerable(job);
-    if (own === undefined) return { isOwner: false };
-    await this.awaitResults(own, after, wait);
-    if (!own.canAnswer || mayLackResults(own, after)) return { isOwner: false };
-    const { items, tenant } = own.spec;
+    const ownedJob = this.owned.answerable(job);
+    if (ownedJob === undefined) return { isOwner: false };
+    await this.awaitResults(ownedJob, after, wait);
+    if (!ownedJob.canAnswer || mayLackResults(ownedJob, after)) return { isOwner: false };
+    const { items, tenant } = ownedJob.spec;
     const total = items.length;
-    const { pages, results } = own;
-    const allowedRegions = this.residency.regionsForSpec(own.spec);
+    const { pages, results } = ownedJob;
+    const allowedRegions = this.residency.regionsForSpec(ownedJob.spec);
     const restriction = allowedRegions === undefined ? {} : { allowedRegions };
     return { isOwner: true, tenant, total, pages, results: results.slice(after), ...restriction };
   }
 
   /** Cancels a job that this node owns; returns whether it is cancelled. */
   async cancelOwn(job: string, caller: CallerIdentity): Promise<boolean> {
-    const own = this.owned.get(job);
-    if (own === undefined || !mayAccess(caller, own.spec.tenant)) return false;
-    return own.canCancel ? own.cancel(() => false) : own.isCancelled;
+    const ownedJob = this.owned.get(job);
+    if (ownedJob === undefined || !mayAccess(caller, ownedJob.spec.tenant)) return false;
+    return ownedJob.canCancel ? ownedJob.cancel(() => false) : ownedJob.isCancelled;
   }
 
   private async readOwned(
@@ -348,7 +350,7 @@
     return sliceOf({ total: job.spec.items.length, results: job.results }, after);
   }
 
-  /** Waits for a result from a position on, or confirms that there is none. */
+  /** Waits for a result at or after a position, or confirms that none is listed. */
   private async awaitResults(job: OwnedJob, after: number, wait: Milliseconds): Promise<void> {
     if (after >= job.results.length && job.isOpen && wait > 0) await firstChange(job, wait);
     if (!mayLackResults(job, after)) return;
@@ -363,7 +365,7 @@
 /** Whether another owner may have listed results that this one does not have. */
 function mayLackResults(job: OwnedJob, after: number): boolean {
   const isShort = after >= job.results.length && job.isOpen;
-  return isShort && job.confirmationAge() > MAX_CONFIRMATION_AGE;
+  return isShort && job.confirmationAge() > MAX_END_OF_LIST_CONFIRMATION_AGE;
 }
 
 function bodyOrAbsent(body: string | undefined): Buffer | Failure {
--- a/src/jobs/job-submissions.ts
+++ b/src/jobs/job-submissions.ts
@@ -23,7 +23,6 @@
 import { STORE_RETRY_AFTER } from './store-reads.js';
 import { TrainerSteps } from './trainer-steps.js';
 
-/** Options of {@link JobSubmissions}. */
 export interface JobSubmissionsOptions {
   readonly store: JobStore;
   readonly owned: OwnedJobs;
@@ -101,8 +100,8 @@
     isStillNeeded: StillNeeded,
     isFromOutside = false,
   ): Promise<Failure | undefined> {
-    const own = this.options.owned.get(spec.id);
-    if (own !== undefined) return tenantConflict(spec, own.spec.tenant);
+    const ownedJob = this.options.owned.get(spec.id);
+    if (ownedJob !== undefined) return tenantConflict(spec, ownedJob.spec.tenant);
     const earlier = this.pending.get(spec.id);
     if (earlier !== undefined) return tenantConflict(spec, earlier.tenant) ?? earlier.outcome;
     const { residency } = this.options;
@@ -162,8 +161,8 @@
       if (!isFromOutside) this.steps.record(spec);
       await this.addCreated(spec, change.current, early, cachedWork, journal);
     }
-    const present = change.kind === 'superseded' ? change.current : undefined;
-    if (present !== undefined) return tenantConflict(spec, present.head.tenant);
+    const existing = change.kind === 'superseded' ? change.current : undefined;
+    if (existing !== undefined) return tenantConflict(spec, existing.head.tenant);
     if (change.kind !== 'unavailable') return undefined;
     // A job whose items have started must not be reported as not run.
     if (change.mayBeDone || early !== undefined) {
@@ -188,9 +187,11 @@
     const { replicas } = journal;
     if (isWriterLive(claim.holder.writer)) return claim.kind;
     if ((await journals.entryStatus(job, replicas)) !== 'not-held') return claim.kind;
-    const next = journals.open(job, replicas, claim.holder.term + 1);
-    const secondClaim = await next.claim();
-    return secondClaim.kind === 'claimed' && secondClaim.entries.length === 0 ? next : claim.kind;
+    const nextJournal = journals.open(job, replicas, claim.holder.term + 1);
+    const secondClaim = await nextJournal.claim();
+    return secondClaim.kind === 'claimed' && secondClaim.entries.length === 0
+      ? nextJournal
+      : claim.kind;
   }
 
   /**
--- a/src/jobs/job-transfer.ts
+++ b/src/jobs/job-transfer.ts
@@ -21,7 +21,6 @@
   readonly entries: readonly JournalEntry[];
 }
 
-/** Options of {@link JobTransfer}. */
 export interface JobTransferOptions {
   readonly store: JobStore;
   readonly owned: OwnedJobs;
@@ -42,7 +41,7 @@
 
   constructor(private readonly options: JobTransferOptions) {}
 
-  /** Whether this node is taking over a job. */
+  /** Whether a takeover of the job by this node is in progress. */
   isTakingOver(job: string): boolean {
     return this.jobsInTakeover.has(job);
   }
--- a/src/jobs/journal-recovery.ts
+++ b/src/jobs/journal-recovery.ts
@@ -19,7 +19,6 @@
 /** Interval between scans, which find only jobs and results that the store does not have. */
 const SCAN_INTERVAL: Milliseconds = 3_000;
 
-/** Options of {@link JournalRecovery}. */
 export interface JournalRecoveryOptions {
   readonly journals: ZoneJournals;
   readonly store: JobStore;
@@ -83,9 +82,9 @@
   ): Promise<void> {
     const { store, journals, log } = this.options;
     const { replicas = [], pages: stored } = found.head;
-    const own = new Set(journals.replicasInOwnZone().map(({ disk }) => disk));
+    const ownDisks = new Set(journals.replicasInOwnZone().map(({ disk }) => disk));
     // Entries in replicas that the job's head does not name are not results of the job.
-    const isOfJob = replicas.some(({ disk }) => own.has(disk));
+    const isOfJob = replicas.some(({ disk }) => ownDisks.has(disk));
     const changes = isOfJob ? changesAfter(entries, stored) : [];
     const pages = changes.flatMap((change) => (change.kind === 'page' ? [change.results] : []));
     if (pages.length > 0) {
--- a/src/jobs/listing-writer.ts
+++ b/src/jobs/listing-writer.ts
@@ -30,7 +30,6 @@
 /** Maximum pages in one commit; four pages of 400 KB are below the store's request limit. */
 const MAX_PAGES_PER_COMMIT = 4;
 
-/** Options of {@link ListingWriter}. */
 export interface ListingWriterOptions {
   readonly job: string;
   readonly store: JobStore;
--- a/src/jobs/owned-item.ts
+++ b/src/jobs/owned-item.ts
@@ -36,7 +36,6 @@
   scoring: ItemScoring | undefined;
 }
 
-/** Creates an item without progress. */
 export function newOwnedItem(
   item: JobItem,
   rule: VersionRule,
@@ -65,7 +64,6 @@
   };
 }
 
-/** Whether the text of an item is incomplete. */
 export function isTextIncomplete({ state }: OwnedItem): boolean {
   return state === 'waiting' || state === 'running';
 }
--- a/src/jobs/owned-job.ts
+++ b/src/jobs/owned-job.ts
@@ -17,8 +17,8 @@
 const REMAINING_SHARE = 0.5;
 
 /**
- * Age of the last ownership confirmation above which no items are sent. Items may reach workers for
- * at most 3 s after the job's cancellation, and the ownership is verified every 1.2 s.
+ * No items are sent when the last ownership confirmation is older than this. Items may reach
+ * workers for at most 3 s after the job's cancellation, and the ownership is verified every 1.2 s.
  */
 const MAX_CONFIRMATION_AGE: Milliseconds = 2_000;
 
@@ -50,10 +50,10 @@
       close: (reason) => this.close(reason),
       onListed: () => this.changed.next(),
     });
-    const done = new Set(this.results.map((result) => result.id));
+    const listedIds = new Set(this.results.map((result) => result.id));
     this.meanExpectedLength = meanLengthOf(spec);
     for (const item of spec.items) {
-      if (done.has(item.id)) continue;
+      if (listedIds.has(item.id)) continue;
       const entry = newOwnedItem(item, rule, this.spec);
       this.items.set(item.id, entry);
       this.restoreWork(entry, earlierWork.get(item.id), rule);
@@ -130,7 +130,6 @@
     this.close('ended-elsewhere');
   }
 
-  /** Whether the job is cancelled. */
   get isCancelled(): boolean {
     return this.recordedReason === 'ended' || this.recordedReason === 'ended-elsewhere';
   }
@@ -170,14 +169,14 @@
   /** Finishes an item whose text is complete, or marks it as unscored. */
   completeText(entry: OwnedItem): void {
     entry.progress.markComplete();
-    const text = entry.progress.toResult(entry.item.id);
+    const unscoredResult = entry.progress.toResult(entry.item.id);
     if (entry.item.scoreRequest === undefined) {
-      this.finish(entry, text);
+      this.finish(entry, unscoredResult);
       return;
     }
     entry.state = 'unscored';
     entry.run = undefined;
-    entry.text = text;
+    entry.text = unscoredResult;
   }
 
   /** Sets the result of an item and queues it for listing. */
@@ -211,7 +210,7 @@
     return this.listing.release(isStillNeeded);
   }
 
-  /** Verifies the ownership of the job now. */
+  /** Verifies the ownership without waiting for the verification interval. */
   verifyNow(): Promise<void> {
     return this.listing.verifyNow();
   }
--- a/src/jobs/owned-jobs.ts
+++ b/src/jobs/owned-jobs.ts
@@ -31,7 +31,6 @@
 import type { JobStore, VersionedHead } from './job-store.js';
 import { OwnedJob } from './owned-job.js';
 
-/** Options of {@link OwnedJobs}. */
 export interface OwnedJobsOptions {
   readonly store: JobStore;
   readonly dispatcher: ItemDispatcher;
@@ -51,7 +50,6 @@
 /** Number of closed jobs that are retained in memory. */
 const MAX_RETAINED_JOBS = 24;
 
-/** The owned jobs, by id. */
 export class OwnedJobs {
   private readonly jobs = new Map<string, OwnedJob>();
   private readonly workCache: ItemWorkCache;
@@ -67,15 +65,15 @@
     return [...this.jobs.values()];
   }
 
-  /** A job that this node owns or owned. */
+  /** The job, if this node owns it or retains it after closing. */
   get(job: string): OwnedJob | undefined {
     return this.jobs.get(job);
   }
 
-  /** A job whose results this node can serve from memory. */
+  /** The job, if this node can serve its results from memory. */
   answerable(job: string): OwnedJob | undefined {
-    const own = this.jobs.get(job);
-    return own?.canAnswer === true ? own : undefined;
+    const ownedJob = this.jobs.get(job);
+    return ownedJob?.canAnswer === true ? ownedJob : undefined;
   }
 
   /** Adds a job and runs its items. */
@@ -115,7 +113,6 @@
     this.jobs.set(job.spec.id, job);
   }
 
-  /** Periodic work on owned jobs. */
   tick(): void {
     for (const job of this.jobs.values()) job.advance();
     this.dropOld();
--- a/src/jobs/placement-round.ts
+++ b/src/jobs/placement-round.ts
@@ -19,7 +19,7 @@
 
 /** One batch of placements. */
 export class PlacementRound {
-  private readonly median: Milliseconds;
+  private readonly medianEventInterval: Milliseconds;
   private freeWorkers: readonly KnownWorker[];
   /** Start of the next search; random at first, so that owners start at different workers. */
   private cursor: number;
@@ -36,7 +36,7 @@
     private readonly distanceCost?: DistanceCost,
     private readonly rules: SendRules = new SendRules(),
   ) {
-    this.median = medianEventInterval(workers);
+    this.medianEventInterval = medianEventInterval(workers);
     this.freeWorkers = workers.filter((worker) => worker.hasFreeSlot(now));
     const isLarge = this.freeWorkers.length > MAX_COMPARED;
     this.cursor = isLarge ? Math.floor(Math.random() * this.freeWorkers.length) : 0;
@@ -62,7 +62,7 @@
     needs: ItemNeeds,
     sharedPromptWorker: string | undefined,
   ): (worker: KnownWorker) => number {
-    const score = placementScore(needs, this.median, sharedPromptWorker, this.now);
+    const score = placementScore(needs, this.medianEventInterval, sharedPromptWorker, this.now);
     const { distanceCost } = this;
     if (distanceCost === undefined) return score;
     return (worker) => score(worker) + distanceCost(worker.record.zone);
--- a/src/jobs/run-migrator.ts
+++ b/src/jobs/run-migrator.ts
@@ -18,10 +18,8 @@
 const MIN_RUN_AGE: Milliseconds = 300;
 const MAX_MOVES = 8;
 
-/** Reason for moving a run. */
 type MoveCause = 'stalled' | 'slow-worker' | 'faster-elsewhere';
 
-/** Options of {@link RunMigrator}. */
 export type RunMigratorOptions = Pick<
   ItemDispatcherOptions,
   'registry' | 'clock' | 'log' | 'metrics' | 'distanceCost' | 'routes'
--- a/src/jobs/trainer-steps.ts
+++ b/src/jobs/trainer-steps.ts
@@ -8,11 +8,10 @@
 /** Fields that identify the trainer of a job. */
 type TrainerFields = Pick<JobSpecification, 'host' | 'model' | 'tenant'>;
 
-/** Last accepted step of each trainer. */
 export class TrainerSteps {
   private readonly lastSteps = new Map<string, number>();
 
-  /** Records a job that only this node accepted. */
+  /** Records the step of a job that this node accepted and that no other zone can have accepted. */
   record(spec: JobSpecification): void {
     const key = keyOf(spec);
     this.lastSteps.set(key, Math.max(spec.step, this.lastSteps.get(key) ?? spec.step));
--- a/test/jobs/evacuated-zone.test.ts
+++ b/test/jobs/evacuated-zone.test.ts
@@ -27,7 +27,7 @@
 }
 
 /** A node with one item worker and one scorer in each of two zones; zone-1 is registered first. */
-function scenario(scripts: Script[], slots = 4): Scenario {
+function startScenario(scripts: Script[], slots = 4): Scenario {
   const engine = new ScriptedEngine(scripts);
   const evacuations = new ZoneEvacuations();
   const rules = new SendRules([evacuations]);
@@ -64,81 +64,81 @@
 
 t.test('a run in progress in a zone when its evacuation begins completes there', async (t) => {
   const { stream, resume } = heldStream(events(0, 'a'), events(1, 'b'));
-  const run = scenario([stream]);
-  await run.node.service.submit(specification('job', 1), always);
-  await workUntil(run.node, () => run.engine.requests.length === 1);
-  run.evacuations.begin('zone-1');
+  const scenario = startScenario([stream]);
+  await scenario.node.service.submit(specification('job', 1), always);
+  await workUntil(scenario.node, () => scenario.engine.requests.length === 1);
+  scenario.evacuations.begin('zone-1');
   resume();
-  await workUntil(run.node, isFinished(run.node));
-  t.equal(await textOf(run), 'a\nb');
-  t.same(run.sentTo(), ['in-zone-1']);
+  await workUntil(scenario.node, isFinished(scenario.node));
+  t.equal(await textOf(scenario), 'a\nb');
+  t.same(scenario.sentTo(), ['in-zone-1']);
 });
 
 t.test('an item whose run breaks in an evacuated zone resumes in another zone', async (t) => {
-  const run = scenario([
+  const scenario = startScenario([
     brokenAnswer(events(0, 'a'), { isStream: true }),
     answer(events(1, 'b'), { isStream: true }),
   ]);
-  await run.node.service.submit(specification('job', 1), always);
-  await workUntil(run.node, () => run.engine.requests.length === 1);
-  run.evacuations.begin('zone-1');
-  await workUntil(run.node, isFinished(run.node));
-  t.same(run.sentTo(), ['in-zone-1', 'in-zone-2']);
-  t.equal(run.engine.requests[1]?.lastEventId, 0);
-  t.equal(await textOf(run), 'a\nb');
+  await scenario.node.service.submit(specification('job', 1), always);
+  await workUntil(scenario.node, () => scenario.engine.requests.length === 1);
+  scenario.evacuations.begin('zone-1');
+  await workUntil(scenario.node, isFinished(scenario.node));
+  t.same(scenario.sentTo(), ['in-zone-1', 'in-zone-2']);
+  t.equal(scenario.engine.requests[1]?.lastEventId, 0);
+  t.equal(await textOf(scenario), 'a\nb');
 });
 
 t.test('a stalled run does not move to a worker in an evacuated zone', async (t) => {
   const { stream, resume } = heldStream(events(0, 'a'), events(1, 'b'));
-  const run = scenario([stream]);
-  run.evacuations.begin('zone-2');
-  await run.node.service.submit(specification('job', 1), always);
+  const scenario = startScenario([stream]);
+  scenario.evacuations.begin('zone-2');
+  await scenario.node.service.submit(specification('job', 1), always);
   const startedAt = performance.now();
-  await workUntil(run.node, () => performance.now() - startedAt > 1_000);
-  t.same(run.sentTo(), ['in-zone-1']);
+  await workUntil(scenario.node, () => performance.now() - startedAt > 1_000);
+  t.same(scenario.sentTo(), ['in-zone-1']);
   resume();
-  await workUntil(run.node, isFinished(run.node));
-  t.same(run.sentTo(), ['in-zone-1']);
+  await workUntil(scenario.node, isFinished(scenario.node));
+  t.same(scenario.sentTo(), ['in-zone-1']);
 });
 
 t.test('a run that stalls in an evacuated zone moves out and not back', async (t) => {
   const held = heldStream(events(0, 'a'), '');
-  const run = scenario([held.stream, 'hang', answer(events(1, 'b'), { isStream: true })]);
-  await run.node.service.submit(specification('job', 1), always);
-  await workUntil(run.node, () => run.engine.requests.length === 1);
-  run.evacuations.begin('zone-1');
+  const scenario = startScenario([held.stream, 'hang', answer(events(1, 'b'), { isStream: true })]);
+  await scenario.node.service.submit(specification('job', 1), always);
+  await workUntil(scenario.node, () => scenario.engine.requests.length === 1);
+  scenario.evacuations.begin('zone-1');
   // The other worker sends nothing for 2.5 s, after which the first one would be tried again.
-  await workUntil(run.node, isFinished(run.node));
-  t.same(run.sentTo(), ['in-zone-1', 'in-zone-2', 'in-zone-2']);
+  await workUntil(scenario.node, isFinished(scenario.node));
+  t.same(scenario.sentTo(), ['in-zone-1', 'in-zone-2', 'in-zone-2']);
 });
 
 t.test(
   'waiting items go to free slots in other zones, and to the zone after its evacuation',
   async (t) => {
-    const run = scenario([], 2);
-    run.evacuations.begin('zone-2');
-    await run.node.service.submit(specification('job', 6), always);
-    await workUntil(run.node, () => run.engine.requests.length === 2);
+    const scenario = startScenario([], 2);
+    scenario.evacuations.begin('zone-2');
+    await scenario.node.service.submit(specification('job', 6), always);
+    await workUntil(scenario.node, () => scenario.engine.requests.length === 2);
     const startedAt = performance.now();
-    await workUntil(run.node, () => performance.now() - startedAt > 200);
-    t.same(run.sentTo(), ['in-zone-1', 'in-zone-1']);
-    run.evacuations.end('zone-2');
-    await workUntil(run.node, () => run.engine.requests.length === 4);
-    t.same(run.sentTo().slice(2), ['in-zone-2', 'in-zone-2'], 'as many as it has slots');
-    run.node.dispatcher.stop();
+    await workUntil(scenario.node, () => performance.now() - startedAt > 200);
+    t.same(scenario.sentTo(), ['in-zone-1', 'in-zone-1']);
+    scenario.evacuations.end('zone-2');
+    await workUntil(scenario.node, () => scenario.engine.requests.length === 4);
+    t.same(scenario.sentTo().slice(2), ['in-zone-2', 'in-zone-2'], 'as many as it has slots');
+    scenario.node.dispatcher.stop();
   },
 );
 
 t.test('scores are requested outside an evacuated zone, also when hedged', async (t) => {
-  const run = scenario([text('ab'), 'hang', answer('judged', { signature: 'good' })]);
-  run.evacuations.begin('zone-1');
-  await run.node.service.submit(scoredSpecification('job', 1), always);
-  await workUntil(run.node, () => run.engine.requests.length === 2);
-  // The answer is late; the other scorer is in the evacuated zone.
+  const scenario = startScenario([text('ab'), 'hang', answer('judged', { signature: 'good' })]);
+  scenario.evacuations.begin('zone-1');
+  await scenario.node.service.submit(scoredSpecification('job', 1), always);
+  await workUntil(scenario.node, () => scenario.engine.requests.length === 2);
+  // Waits until a hedge would be due; the only other scorer is in the evacuated zone.
   const startedAt = performance.now();
-  await workUntil(run.node, () => performance.now() - startedAt > 400);
-  t.same(run.sentTo(), ['in-zone-2', 'scorer-zone-2']);
-  run.evacuations.end('zone-1');
-  await workUntil(run.node, isFinished(run.node));
-  t.same(run.sentTo().slice(2), ['scorer-zone-1']);
+  await workUntil(scenario.node, () => performance.now() - startedAt > 400);
+  t.same(scenario.sentTo(), ['in-zone-2', 'scorer-zone-2']);
+  scenario.evacuations.end('zone-1');
+  await workUntil(scenario.node, isFinished(scenario.node));
+  t.same(scenario.sentTo().slice(2), ['scorer-zone-1']);
 });
--- a/test/jobs/item-placement.test.ts
+++ b/test/jobs/item-placement.test.ts
@@ -41,12 +41,12 @@
 });
 
 t.test('of equal workers the emptier one, or the one that read the shared prompt', async (t) => {
-  const one = known('one', 40);
-  const two = known('two', 40);
-  one.inFlight = 2;
-  t.equal(placeItem([one, two], NEEDS, undefined, NOW), two);
-  one.inFlight = 1;
-  t.equal(placeItem([one, two], NEEDS, 'one', NOW), one);
+  const firstWorker = known('one', 40);
+  const secondWorker = known('two', 40);
+  firstWorker.inFlight = 2;
+  t.equal(placeItem([firstWorker, secondWorker], NEEDS, undefined, NOW), secondWorker);
+  firstWorker.inFlight = 1;
+  t.equal(placeItem([firstWorker, secondWorker], NEEDS, 'one', NOW), firstWorker);
 });
 
 t.test('a long item avoids a slower worker, a short one takes the emptier one', async (t) => {
--- a/test/jobs/item-scorer.test.ts
+++ b/test/jobs/item-scorer.test.ts
@@ -30,7 +30,7 @@
 }
 
 /** A node with one worker for items and some for scores. */
-function scenario(scripts: Script[], scorers = ['s1'], slots = 4): Scenario {
+function startScenario(scripts: Script[], scorers = ['s1'], slots = 4): Scenario {
   const store = new SharedStoreEmulator();
   const engine = new ScriptedEngine(scripts);
   const node = jobNode(store, OWNER, engine);
@@ -54,10 +54,10 @@
 t.test(
   'a result is listed with the signature of the answer to its own score request',
   async (t) => {
-    const run = scenario([text('ab'), scored('score-signature')]);
-    const results = await runToEnd(run, scoredSpecification('job', 1));
+    const scenario = startScenario([text('ab'), scored('score-signature')]);
+    const results = await runToEnd(scenario, scoredSpecification('job', 1));
     t.match(results, [{ state: 'completed', text: 'a\nb', score: 'score-signature' }]);
-    const [item, score] = run.engine.requests;
+    const [item, score] = scenario.engine.requests;
     t.equal(item?.requestId, 'item-0');
     t.match(score, {
       requestId: 'score-0',
@@ -71,47 +71,47 @@
 );
 
 t.test('no score is requested before the text is complete', async (t) => {
-  const run = scenario([brokenAnswer(events(0, 'a'), { isStream: true })]);
-  await run.node.service.submit(scoredSpecification('job', 1), always);
-  await workUntil(run.node, () => run.engine.requests.length >= 2);
-  t.equal(run.engine.requests[1]?.requestId, 'item-0');
-  t.equal(run.engine.requests[1]?.lastEventId, 0);
-  run.node.dispatcher.stop();
+  const scenario = startScenario([brokenAnswer(events(0, 'a'), { isStream: true })]);
+  await scenario.node.service.submit(scoredSpecification('job', 1), always);
+  await workUntil(scenario.node, () => scenario.engine.requests.length >= 2);
+  t.equal(scenario.engine.requests[1]?.requestId, 'item-0');
+  t.equal(scenario.engine.requests[1]?.lastEventId, 0);
+  scenario.node.dispatcher.stop();
 });
 
 t.test('nothing is listed as completed while the score is missing', async (t) => {
-  const run = scenario([text('ab'), 'hang']);
-  await run.node.service.submit(scoredSpecification('job', 1), always);
-  await workUntil(run.node, () => run.engine.requests.length === 2);
-  t.same(await resultsOf(run.node), []);
-  run.node.dispatcher.stop();
+  const scenario = startScenario([text('ab'), 'hang']);
+  await scenario.node.service.submit(scoredSpecification('job', 1), always);
+  await workUntil(scenario.node, () => scenario.engine.requests.length === 2);
+  t.same(await resultsOf(scenario.node), []);
+  scenario.node.dispatcher.stop();
 });
 
 t.test(
   'a score request is retried after a rejection, a broken connection and a truncated body',
   async (t) => {
     const bad = [NOT_RUN, BROKEN, brokenAnswer('jud', { signature: 'broken' })];
-    const run = scenario([text('ab'), ...bad, scored('good')], ['s1', 's2']);
-    const results = await runToEnd(run, scoredSpecification('job', 1));
+    const scenario = startScenario([text('ab'), ...bad, scored('good')], ['s1', 's2']);
+    const results = await runToEnd(scenario, scoredSpecification('job', 1));
     t.match(results, [{ state: 'completed', score: 'good' }]);
-    t.equal(run.engine.requests.filter(({ requestId }) => requestId === 'item-0').length, 1);
+    t.equal(scenario.engine.requests.filter(({ requestId }) => requestId === 'item-0').length, 1);
   },
 );
 
 t.test('a successful response without a signature is not a score', async (t) => {
   const unsigned = answer('judged', { signature: undefined });
-  const run = scenario([text('ab'), unsigned, scored('good')], ['s1', 's2']);
-  t.match(await runToEnd(run, scoredSpecification('job', 1)), [{ score: 'good' }]);
+  const scenario = startScenario([text('ab'), unsigned, scored('good')], ['s1', 's2']);
+  t.match(await runToEnd(scenario, scoredSpecification('job', 1)), [{ score: 'good' }]);
 });
 
 t.test('an item whose score attempts all fail is terminated', async (t) => {
   const failed = (): EngineOutcome => answer('', { status: 500, signature: 'failure' });
-  const run = scenario([text('ab'), failed(), failed(), failed()], ['s1', 's2', 's3']);
-  const results = await runToEnd(run, scoredSpecification('job', 1));
+  const scenario = startScenario([text('ab'), failed(), failed(), failed()], ['s1', 's2', 's3']);
+  const results = await runToEnd(scenario, scoredSpecification('job', 1));
   t.match(results, [{ state: 'terminated', text: '' }]);
   t.equal(results[0]?.score, undefined);
   t.equal(
-    run.engine.requests.length,
+    scenario.engine.requests.length,
     4,
     'exactly as many score calls as the route allows attempts',
   );
@@ -120,39 +120,42 @@
 t.test(
   'a late score request is hedged on a second worker, and the slower call is cancelled',
   async (t) => {
-    const run = scenario([text('ab'), 'hang', scored('second')], ['s1', 's2']);
+    const scenario = startScenario([text('ab'), 'hang', scored('second')], ['s1', 's2']);
     const startedAt = performance.now();
-    const results = await runToEnd(run, scoredSpecification('job', 1));
+    const results = await runToEnd(scenario, scoredSpecification('job', 1));
     t.match(results, [{ score: 'second' }]);
     t.ok(performance.now() - startedAt < 1_400, 'long before the timeout of the route');
-    const [, first, second] = run.engine.requests;
+    const [, first, second] = scenario.engine.requests;
     t.not(first?.worker.id, second?.worker.id);
-    t.same(run.engine.cancelled, [first?.worker.id]);
+    t.same(scenario.engine.cancelled, [first?.worker.id]);
   },
 );
 
 t.test('the score calls of a cancelled job are cancelled', async (t) => {
-  const run = scenario([text('ab'), 'hang']);
-  await run.node.service.submit(scoredSpecification('job', 1), always);
-  await workUntil(run.node, () => run.engine.requests.length === 2);
-  t.equal(await run.node.service.cancel('job', UNRESTRICTED, always), undefined);
-  t.same(run.engine.cancelled, ['s1']);
-  await workUntil(run.node, always);
-  t.equal(run.engine.requests.length, 2);
+  const scenario = startScenario([text('ab'), 'hang']);
+  await scenario.node.service.submit(scoredSpecification('job', 1), always);
+  await workUntil(scenario.node, () => scenario.engine.requests.length === 2);
+  t.equal(await scenario.node.service.cancel('job', UNRESTRICTED, always), undefined);
+  t.same(scenario.engine.cancelled, ['s1']);
+  await workUntil(scenario.node, always);
+  t.equal(scenario.engine.requests.length, 2);
 });
 
 t.test('the last slots of a worker are reserved for interactive requests', async (t) => {
-  const run = scenario([text('ab'), scored('late')]);
-  const scorer = run.node.registry.get('s1');
+  const scenario = startScenario([text('ab'), scored('late')]);
+  const scorer = scenario.node.registry.get('s1');
   if (scorer === undefined) throw new Error('worker s1 is not registered');
   scorer.inFlight = 3;
-  await run.node.service.submit(scoredSpecification('job', 1), always);
-  await workUntil(run.node, () => run.node.service.ownedJobs()[0]?.unscored().length === 1);
+  await scenario.node.service.submit(scoredSpecification('job', 1), always);
+  await workUntil(
+    scenario.node,
+    () => scenario.node.service.ownedJobs()[0]?.unscored().length === 1,
+  );
   await PROCESS_CLOCK.sleep(50);
-  t.equal(run.engine.requests.length, 1, 'three of four slots are occupied');
+  t.equal(scenario.engine.requests.length, 1, 'three of four slots are occupied');
   scorer.inFlight = 1;
-  await workUntil(run.node, isFinished(run.node));
-  t.match(await resultsOf(run.node), [{ score: 'late' }]);
+  await workUntil(scenario.node, isFinished(scenario.node));
+  t.match(await resultsOf(scenario.node), [{ score: 'late' }]);
 });
 
 t.test(
@@ -182,33 +185,33 @@
 );
 
 t.test('a complete text is stored with each commit while its score is missing', async (t) => {
-  const run = scenario([text('ab'), 'hang']);
-  await run.node.service.submit(scoredSpecification('job', 1), always);
-  await workUntil(run.node, () => run.engine.requests.length === 2);
-  const progress = run.node.service.ownedJobs()[0]?.unfinishedProgress();
+  const scenario = startScenario([text('ab'), 'hang']);
+  await scenario.node.service.submit(scoredSpecification('job', 1), always);
+  await workUntil(scenario.node, () => scenario.engine.requests.length === 2);
+  const progress = scenario.node.service.ownedJobs()[0]?.unfinishedProgress();
   t.match(progress, { 'item-0': { events: ['a', 'b'], isWhole: true } });
-  run.node.dispatcher.stop();
+  scenario.node.dispatcher.stop();
 });
 
 /** Cancels a first job while one of its items hangs, and submits `next` to the same node. */
 async function resubmit(next: JobSpecification, scripts: Script[]): Promise<Scenario> {
-  const run = scenario([...scripts]);
-  await run.node.service.submit(scoredSpecification('first', 2), always);
-  const first = (): JobResult[] => run.node.service.ownedJobs()[0]?.finishedResults() ?? [];
-  await workUntil(run.node, () => first().length === 1);
-  await run.node.service.cancel('first', UNRESTRICTED, always);
-  await run.node.service.submit(next, always);
-  return run;
+  const scenario = startScenario([...scripts]);
+  await scenario.node.service.submit(scoredSpecification('first', 2), always);
+  const first = (): JobResult[] => scenario.node.service.ownedJobs()[0]?.finishedResults() ?? [];
+  await workUntil(scenario.node, () => first().length === 1);
+  await scenario.node.service.cancel('first', UNRESTRICTED, always);
+  await scenario.node.service.submit(next, always);
+  return scenario;
 }
 
 t.test('a score of an earlier job is reused for the same score request', async (t) => {
   const scripts: Script[] = [text('ab'), 'hang', scored('earlier')];
   const spec = scoredSpecification('job', 2);
-  const run = await resubmit({ ...spec, items: spec.items.slice(1) }, scripts);
-  await workUntil(run.node, () => run.node.service.ownedJobs()[1]?.isOpen === false);
-  const [result] = await resultsOf(run.node);
+  const scenario = await resubmit({ ...spec, items: spec.items.slice(1) }, scripts);
+  await workUntil(scenario.node, () => scenario.node.service.ownedJobs()[1]?.isOpen === false);
+  const [result] = await resultsOf(scenario.node);
   t.equal(result?.score, 'earlier');
-  t.equal(run.engine.requests.length, 3);
+  t.equal(scenario.engine.requests.length, 3);
 });
 
 t.test('a text of an earlier job is scored again for another score request', async (t) => {
@@ -218,10 +221,10 @@
     scoreRequest: { id: 'another', host: 'scorer.example', path: '/score/x', body: '' },
   }));
   const scripts: Script[] = [text('ab'), 'hang', scored('earlier'), scored('new')];
-  const run = await resubmit({ ...spec, items: items.slice(1) }, scripts);
-  await workUntil(run.node, () => run.node.service.ownedJobs()[1]?.isOpen === false);
-  t.match(await resultsOf(run.node), [{ text: 'a\nb', score: 'new' }]);
-  t.equal(run.engine.requests.at(-1)?.requestId, 'another');
+  const scenario = await resubmit({ ...spec, items: items.slice(1) }, scripts);
+  await workUntil(scenario.node, () => scenario.node.service.ownedJobs()[1]?.isOpen === false);
+  t.match(await resultsOf(scenario.node), [{ text: 'a\nb', score: 'new' }]);
+  t.equal(scenario.engine.requests.at(-1)?.requestId, 'another');
 });
 
 /** Score requests may fill three quarters of the near worker's slots; the far worker is idle. */
--- a/test/jobs/job-node.ts
+++ b/test/jobs/job-node.ts
@@ -45,7 +45,6 @@
   resumable: true,
 });
 
-/** The route of score requests. */
 export const SCORE_ROUTE = route({
   name: 'scores',
   host: 'scorer.example',
--- a/test/jobs/job-reader.test.ts
+++ b/test/jobs/job-reader.test.ts
@@ -1,4 +1,7 @@
-/** Reads of jobs that another node owns: what is requested from the owner, and stable positions. */
+/**
+ * A reader requests from the owner only results that it lacks, and the positions of results do not
+ * change.
+ */
 import t from 'tap';
 import { SharedStoreEmulator } from '../../lab/emulator/shared-store-emulator.js';
 import { JobReader, type OwnerListing } from '../../src/jobs/job-reader.js';
--- a/test/jobs/journaled-jobs.test.ts
+++ b/test/jobs/journaled-jobs.test.ts
@@ -89,8 +89,8 @@
     const listed = await textsAt(node);
     t.same([...listed].sort(), ['a\nb', 'c\nd']);
 
-    const next = { ...specification('next', 1), step: 1 };
-    t.equal(await node.service.submit(next, always), undefined, 'accepted without the store');
+    const nextStep = { ...specification('next', 1), step: 1 };
+    t.equal(await node.service.submit(nextStep, always), undefined, 'accepted without the store');
     await workUntil(node, () => node.service.ownedJobs()[1]?.results.length === 1);
     t.same(await textsAt(node, 'next'), ['e\nf']);
     t.equal(await node.service.cancel('next', UNRESTRICTED, always), undefined);
@@ -116,8 +116,8 @@
   const read = await store.head('job');
   if (read.kind !== 'found') throw new Error(read.kind);
   for (const address of zone.addresses) zone.unreachable.add(address);
-  const outside = otherNode(setup, 'zone-2');
-  t.equal(await outside.service.takeOver('job', read.value), false);
+  const nodeInOtherZone = otherNode(setup, 'zone-2');
+  t.equal(await nodeInOtherZone.service.takeOver('job', read.value), false);
 });
 
 t.test('a new owner continues the listing after the journaled results', async (t) => {
@@ -133,10 +133,10 @@
   const replicas = before.value.head.replicas ?? [];
   t.equal(replicas.length, 3);
   // The owner terminates with commits in progress: only the journal has the results.
-  const next = otherNode({ ...setup, emulator: await emulatorWith(emulator, 'job') });
-  t.equal(await next.service.takeOver('job', before.value), true);
-  t.same(await textsAt(next), listed);
-  t.equal(next.service.ownedJobs()[0]?.pages, node.service.ownedJobs()[0]?.pages);
+  const nextOwner = otherNode({ ...setup, emulator: await emulatorWith(emulator, 'job') });
+  t.equal(await nextOwner.service.takeOver('job', before.value), true);
+  t.same(await textsAt(nextOwner), listed);
+  t.equal(nextOwner.service.ownedJobs()[0]?.pages, node.service.ownedJobs()[0]?.pages);
 });
 
 /** A copy of a store without the pages of a job, as if its owner's commits had not reached it. */
@@ -156,7 +156,7 @@
 }
 
 /** The next step of the trainer of `job`. */
-const NEXT = { ...specification('next', 2), step: 1 };
+const NEXT_STEP = { ...specification('next', 2), step: 1 };
 
 t.test('a job that only the journal has is recovered after its owner has terminated', async (t) => {
   const setup = await zoneWithStore(t, stream('ab'), stream('cd'), stream('ef'));
@@ -164,13 +164,19 @@
   t.equal(await node.service.submit(specification('job', 2), always), undefined);
   await untilListed(node, 2);
   emulator.setAvailability('refusing');
-  t.equal(await node.service.submit(NEXT, always), undefined);
+  t.equal(await node.service.submit(NEXT_STEP, always), undefined);
   await workUntil(node, () => node.service.ownedJobs()[1]?.results.length === 1);
   const listed = await textsAt(node, 'next');
-  const next = otherNode({ ...setup, emulator: new SharedStoreEmulator() });
-  t.equal(await textsAt(next, 'next'), 'ledger_unavailable', 'the job is not reported as absent');
-  await workUntil(next, () => next.lines.some((line) => line.includes('"job-recovered"')));
-  t.same(await textsAt(next, 'next'), listed);
+  const nextOwner = otherNode({ ...setup, emulator: new SharedStoreEmulator() });
+  t.equal(
+    await textsAt(nextOwner, 'next'),
+    'ledger_unavailable',
+    'the job is not reported as absent',
+  );
+  await workUntil(nextOwner, () =>
+    nextOwner.lines.some((line) => line.includes('"job-recovered"')),
+  );
+  t.same(await textsAt(nextOwner, 'next'), listed);
 });
 
 /** Guards against two zones accepting the same job, each by its own journal. */
@@ -193,13 +199,13 @@
     // The store rejects only this node.
     const commit = emulator.commit.bind(emulator);
     emulator.commit = async () => ({ kind: 'failed', effect: 'not-done' });
-    t.equal(await node.service.submit(NEXT, always), undefined);
+    t.equal(await node.service.submit(NEXT_STEP, always), undefined);
     emulator.commit = commit;
     const reachableStore = new SharedStoreEmulator();
-    const outside = otherNode({ ...setup, emulator: reachableStore }, 'zone-2');
-    t.equal((await outside.service.submit(NEXT, always))?.kind, 'outcome_unknown');
+    const nodeInOtherZone = otherNode({ ...setup, emulator: reachableStore }, 'zone-2');
+    t.equal((await nodeInOtherZone.service.submit(NEXT_STEP, always))?.kind, 'outcome_unknown');
     for (const address of zone.addresses) zone.unreachable.add(address);
-    t.equal((await outside.service.submit(NEXT, always))?.kind, 'outcome_unknown');
+    t.equal((await nodeInOtherZone.service.submit(NEXT_STEP, always))?.kind, 'outcome_unknown');
     zone.unreachable.clear();
   },
 );
@@ -220,8 +226,8 @@
   const store = new JobStore(emulator, new ManualClock());
   const head = await store.head('job');
   if (head.kind !== 'found') throw new Error(head.kind);
-  const outside = otherNode(setup, 'zone-2');
-  t.equal(await textsAt(outside), 'ledger_unavailable');
+  const nodeInOtherZone = otherNode(setup, 'zone-2');
+  t.equal(await textsAt(nodeInOtherZone), 'ledger_unavailable');
   await store.replace('job', head.value, { ended: true }, always);
   await eventually(() => node.service.ownedJobs().every((job) => !job.isActive));
   t.same(await textsAt(otherNode(setup, 'zone-2')), listed);
@@ -240,11 +246,12 @@
   const copy = await emulatorWith(emulator, 'job');
   const store = new JobStore(copy, new ManualClock());
   await store.replace('job', before.value, { ended: true }, always);
-  const next = otherNode({ ...setup, emulator: copy });
-  t.equal(await textsAt(next), 'ledger_unavailable');
-  const isDone = (): boolean => next.lines.some((line) => line.includes('"job-listing-completed"'));
-  await workUntil(next, isDone);
-  t.same(await textsAt(next), listed);
+  const nextOwner = otherNode({ ...setup, emulator: copy });
+  t.equal(await textsAt(nextOwner), 'ledger_unavailable');
+  const isDone = (): boolean =>
+    nextOwner.lines.some((line) => line.includes('"job-listing-completed"'));
+  await workUntil(nextOwner, isDone);
+  t.same(await textsAt(nextOwner), listed);
   await untilHeld(zone, 0);
 });
 
@@ -254,17 +261,17 @@
     const setup = await zoneWithStore(t, stream('ab'));
     const { emulator, zone, node } = setup;
     await node.service.submit(specification('job', 2), always);
-    const outside = otherNode(setup, 'zone-2');
-    t.same(await textsAt(outside), [], 'the replicas confirm that nothing is listed');
-    t.equal(await textsAt(outside, 'unheard-of'), 'not_found');
+    const nodeInOtherZone = otherNode(setup, 'zone-2');
+    t.same(await textsAt(nodeInOtherZone), [], 'the replicas confirm that nothing is listed');
+    t.equal(await textsAt(nodeInOtherZone, 'unheard-of'), 'not_found');
     for (const address of zone.addresses) zone.unreachable.add(address);
-    t.equal(await textsAt(outside), 'ledger_unavailable');
-    t.equal(await textsAt(outside, 'unheard-of'), 'ledger_unavailable');
+    t.equal(await textsAt(nodeInOtherZone), 'ledger_unavailable');
+    t.equal(await textsAt(nodeInOtherZone, 'unheard-of'), 'ledger_unavailable');
     t.equal(
-      (await outside.service.cancel('unheard-of', UNRESTRICTED, always))?.kind,
+      (await nodeInOtherZone.service.cancel('unheard-of', UNRESTRICTED, always))?.kind,
       'ledger_unavailable',
     );
-    const body = await outside.service.itemBody('unheard-of', 'item-0', UNRESTRICTED);
+    const body = await nodeInOtherZone.service.itemBody('unheard-of', 'item-0', UNRESTRICTED);
     t.match(body, { kind: 'ledger_unavailable' });
     zone.unreachable.clear();
     emulator.setAvailability('refusing');
@@ -278,8 +285,8 @@
   const { emulator, node } = setup;
   await node.service.submit(specification('job', 1), always);
   emulator.setAvailability('refusing');
-  t.equal(await node.service.submit(NEXT, always), undefined);
-  const rejection = await otherNode(setup).service.submit(NEXT, always);
+  t.equal(await node.service.submit(NEXT_STEP, always), undefined);
+  const rejection = await otherNode(setup).service.submit(NEXT_STEP, always);
   t.equal(rejection?.kind, 'outcome_unknown');
 });
 
@@ -296,8 +303,8 @@
     const rejection = await node.service.submit(specification('job', 1), never);
     t.notSame(rejection, undefined);
     const reachableStore = new SharedStoreEmulator();
-    const next = otherNode({ ...setup, emulator: reachableStore });
-    t.equal(await next.service.submit(specification('job', 1), always), undefined);
+    const nextNode = otherNode({ ...setup, emulator: reachableStore });
+    t.equal(await nextNode.service.submit(specification('job', 1), always), undefined);
     const head = await new JobStore(reachableStore, new ManualClock()).head('job');
     t.equal(head.kind === 'found' && head.value.head.term, 2);
   },
@@ -314,8 +321,8 @@
   const first = zone.journals(WRITER).openNew('job');
   t.equal((await first?.claim())?.kind, 'claimed');
   const journals = zone.journals(`${OTHER.node}/${OTHER.incarnation}`);
-  const second = jobNode(emulator, OTHER, new ScriptedEngine(), NO_PEERS, { journals });
-  const rejection = await second.service.submit(specification('job', 1), never);
+  const secondNode = jobNode(emulator, OTHER, new ScriptedEngine(), NO_PEERS, { journals });
+  const rejection = await secondNode.service.submit(specification('job', 1), never);
   t.equal(rejection?.kind, 'outcome_unknown');
   t.equal(await first?.append([]), 'kept', 'the first node may still accept it');
 });
@@ -325,9 +332,9 @@
   const { emulator, zone, node } = await zoneWithStore(t);
   t.equal(await node.service.submit(specification('job', 1), always), undefined);
   const journals = zone.journals(`${OTHER.node}/${OTHER.incarnation}`);
-  const second = jobNode(emulator, OTHER, new ScriptedEngine(), NO_PEERS, { journals });
-  t.equal(await second.service.submit(specification('job', 1), never), undefined);
-  t.same(second.service.ownedJobs(), []);
+  const secondNode = jobNode(emulator, OTHER, new ScriptedEngine(), NO_PEERS, { journals });
+  t.equal(await secondNode.service.submit(specification('job', 1), never), undefined);
+  t.same(secondNode.service.ownedJobs(), []);
 });
 
 t.test(
@@ -346,8 +353,8 @@
     node.dispatcher.stop();
     const answer = waiting.service.submit(specification('job', 1), always);
     await eventually(() => zone.requests.some(({ kind }) => kind === 'journal-claim'));
-    const next = zone.journals('other/life').open('job', journals.replicasInOwnZone(), 2);
-    t.equal((await next.claim()).kind, 'claimed');
+    const nextJournal = zone.journals('other/life').open('job', journals.replicasInOwnZone(), 2);
+    t.equal((await nextJournal.claim()).kind, 'claimed');
     zone.emptyReplicas.set(far.address, far);
     t.equal((await answer)?.kind, 'outcome_unknown');
     t.same(waiting.service.ownedJobs(), []);
@@ -363,8 +370,8 @@
     const commit = emulator.commit.bind(emulator);
     emulator.commit = async (...parts) => {
       emulator.commit = commit;
-      const next = zone.journals('other/life').open('job', zone.locations, 2);
-      await next.claim();
+      const nextJournal = zone.journals('other/life').open('job', zone.locations, 2);
+      await nextJournal.claim();
       return commit(...parts);
     };
     t.equal(await node.service.submit(specification('job', 1), always), undefined);
@@ -380,10 +387,10 @@
 t.test('zones that do not answer are queried again until a timeout', async (t) => {
   const setup = await zoneWithStore(t);
   const { zone } = setup;
-  const outside = otherNode(setup, 'zone-2');
+  const nodeInOtherZone = otherNode(setup, 'zone-2');
   for (const address of zone.addresses) zone.unreachable.add(address);
   setTimeout(() => zone.unreachable.clear(), 300);
-  t.equal(await outside.service.submit(specification('job', 1), always), undefined);
+  t.equal(await nodeInOtherZone.service.submit(specification('job', 1), always), undefined);
 });
 
 t.test('a job without enough replicas is accepted by the store alone', async (t) => {
--- a/test/jobs/misplaced-jobs.test.ts
+++ b/test/jobs/misplaced-jobs.test.ts
@@ -137,23 +137,23 @@
   return node;
 }
 
-const ITEMS = ['item-0', 'item-1'];
+const ITEM_IDS = ['item-0', 'item-1'];
 
 t.test('cached work is sent only to nodes that may store it', async (t) => {
   const { service } = await nodeWithCancelledJob({ regions: ['north'] });
-  t.equal(service.cachedWorkOf(ITEMS, 'zone-1').size, 1);
-  t.equal(service.cachedWorkOf(ITEMS, 'zone-2').size, 0);
-  t.equal(service.cachedWorkOf(ITEMS).size, 0, 'an older build does not send its zone');
+  t.equal(service.cachedWorkOf(ITEM_IDS, 'zone-1').size, 1);
+  t.equal(service.cachedWorkOf(ITEM_IDS, 'zone-2').size, 0);
+  t.equal(service.cachedWorkOf(ITEM_IDS).size, 0, 'an older build does not send its zone');
   const unlimited = await nodeWithCancelledJob({ regions: undefined });
-  t.equal(unlimited.service.cachedWorkOf(ITEMS).size, 1);
+  t.equal(unlimited.service.cachedWorkOf(ITEM_IDS).size, 1);
 });
 
 t.test('a later limit applies to work that is already cached', async (t) => {
   const limit: Limit = { regions: undefined };
   const { service } = await nodeWithCancelledJob(limit);
   limit.regions = ['north'];
-  t.equal(service.cachedWorkOf(ITEMS, 'zone-2').size, 0);
-  t.equal(service.cachedWorkOf(ITEMS, 'zone-1').size, 1);
+  t.equal(service.cachedWorkOf(ITEM_IDS, 'zone-2').size, 0);
+  t.equal(service.cachedWorkOf(ITEM_IDS, 'zone-1').size, 1);
 });
 
 t.test(
--- a/test/jobs/partitioned-owner.test.ts
+++ b/test/jobs/partitioned-owner.test.ts
@@ -54,15 +54,15 @@
     ...NO_PEERS,
     releaseAtOwner: async (_: unknown, job: string) => owner.service.releaseTakenOver(job),
   };
-  const next = jobNode(emulator, OTHER, nextEngine, peers);
-  next.registry.put(worker('w1'));
+  const nextOwner = jobNode(emulator, OTHER, nextEngine, peers);
+  nextOwner.registry.put(worker('w1'));
   const head = await new JobStore(emulator, PROCESS_CLOCK).head('job');
   if (head.kind !== 'found') throw new Error(head.kind);
-  t.equal(await next.service.takeOver('job', head.value, true), true);
-  const ticker = keepWorking(next);
-  await eventually(() => next.service.ownedJobs()[0]?.isOpen === false);
+  t.equal(await nextOwner.service.takeOver('job', head.value, true), true);
+  const ticker = keepWorking(nextOwner);
+  await eventually(() => nextOwner.service.ownedJobs()[0]?.isOpen === false);
   clearInterval(ticker);
-  const read = await next.service.read('job', 0, 0, UNRESTRICTED);
+  const read = await nextOwner.service.read('job', 0, 0, UNRESTRICTED);
   const texts = 'results' in read ? read.results.map(({ id, text }) => [id, text]) : [];
   t.same(texts.sort(), [
     ['item-0', 'x\ny\nz'],
