--- a/test/jobs/item-scorer.test.ts
+++ b/test/jobs/item-scorer.test.ts
@@ -197,8 +197,9 @@
 async function resubmit(next: JobSpecification, scripts: Script[]): Promise<Scenario> {
   const scenario = startScenario([...scripts]);
   await scenario.node.service.submit(scoredSpecification('first', 2), always);
-  const first = (): JobResult[] => scenario.node.service.ownedJobs()[0]?.finishedResults() ?? [];
-  await workUntil(scenario.node, () => first().length === 1);
+  const firstJobResults = (): JobResult[] =>
+    scenario.node.service.ownedJobs()[0]?.finishedResults() ?? [];
+  await workUntil(scenario.node, () => firstJobResults().length === 1);
   await scenario.node.service.cancel('first', UNRESTRICTED, always);
   await scenario.node.service.submit(next, always);
   return scenario;
--- a/test/jobs/job-service.test.ts
+++ b/test/jobs/job-service.test.ts
@@ -25,14 +25,14 @@
   node.registry.put(worker('w1'));
   t.equal(await node.service.submit(specification('job', 2), always), undefined);
   await workUntil(node, isFinished(node));
-  const here = await node.service.read('job', 0, 0, UNRESTRICTED);
-  if ('detail' in here) throw new Error(here.detail);
-  t.equal(here.total, 2);
-  t.equal(here.nextPosition, 2);
-  t.same(here.results.map((result) => result.text).sort(), ['a\nb', 'c\nd']);
+  const readHere = await node.service.read('job', 0, 0, UNRESTRICTED);
+  if ('detail' in readHere) throw new Error(readHere.detail);
+  t.equal(readHere.total, 2);
+  t.equal(readHere.nextPosition, 2);
+  t.same(readHere.results.map((result) => result.text).sort(), ['a\nb', 'c\nd']);
   const other = jobNode(emulator, OTHER);
   const there = await other.service.read('job', 1, 0, UNRESTRICTED);
-  t.same(there, { total: 2, results: here.results.slice(1), nextPosition: 2 });
+  t.same(there, { total: 2, results: readHere.results.slice(1), nextPosition: 2 });
 });
 
 t.test('an item resumes where its stream broke, on another worker', async (t) => {
@@ -226,21 +226,21 @@
 t.test('a released job resumes on another node after the last event', async (t) => {
   const emulator = new SharedStoreEmulator();
   const open = answer('', { isStream: true, body: openStream(events(0, 'ab')) });
-  const first = jobNode(emulator, OWNER, new ScriptedEngine([open]));
-  first.registry.put(worker('w1'));
-  await first.service.submit(specification('job', 1), always);
+  const previousOwner = jobNode(emulator, OWNER, new ScriptedEngine([open]));
+  previousOwner.registry.put(worker('w1'));
+  await previousOwner.service.submit(specification('job', 1), always);
   await workUntil(
-    first,
-    () => first.service.ownedJobs()[0]?.unfinishedProgress()['item-0'] !== undefined,
+    previousOwner,
+    () => previousOwner.service.ownedJobs()[0]?.unfinishedProgress()['item-0'] !== undefined,
   );
-  await first.service.release(always);
+  await previousOwner.service.release(always);
   const engine = new ScriptedEngine([stream('cd', 2)]);
-  const second = jobNode(emulator, OTHER, engine);
-  second.registry.put(worker('w1'));
-  t.ok(await second.service.takeReleased('job'));
-  await workUntil(second, isFinished(second));
+  const nextOwner = jobNode(emulator, OTHER, engine);
+  nextOwner.registry.put(worker('w1'));
+  t.ok(await nextOwner.service.takeReleased('job'));
+  await workUntil(nextOwner, isFinished(nextOwner));
   t.equal(engine.requests[0]?.lastEventId, 1);
-  const read = await second.service.read('job', 0, 0, UNRESTRICTED);
+  const read = await nextOwner.service.read('job', 0, 0, UNRESTRICTED);
   t.equal('results' in read && read.results[0]?.text, 'a\nb\nc\nd');
 });
 
--- a/test/jobs/job-store.test.ts
+++ b/test/jobs/job-store.test.ts
@@ -56,10 +56,10 @@
 
 t.test('only one of two owners lists results at a position', async (t) => {
   const [store, base] = await created(new SharedStoreEmulator());
-  const one = await store.append('job', base, [result(0)], undefined, always);
-  const two = await store.append('job', base, [result(1)], undefined, always);
-  t.equal(one.kind, 'changed');
-  t.equal(two.kind, 'superseded');
+  const firstAppend = await store.append('job', base, [result(0)], undefined, always);
+  const secondAppend = await store.append('job', base, [result(1)], undefined, always);
+  t.equal(firstAppend.kind, 'changed');
+  t.equal(secondAppend.kind, 'superseded');
   t.same(await store.results('job', 0), { kind: 'found', value: [[result(0)]] });
 });
 
