--- a/lab/bench/routing-decisions.ts
+++ b/lab/bench/routing-decisions.ts
@@ -61,7 +61,7 @@
   const random = createRandomSource(workerCount);
   const self = nodes[0] as NodeRecord;
   const directory = new WorkerDirectory({ self, random, subsetSize });
-  directory.updateWanted([{ model: MODEL, zones: BENCH_ZONES }], 0);
+  directory.updateRoutedModels([{ model: MODEL, zones: BENCH_ZONES }], 0);
   directory.updateMachines(
     workers.map((record) => makeMachine(record, 'live')),
     0,
@@ -72,7 +72,7 @@
   directory.updateNodes((zone) => byZone.get(zone) ?? [], 0);
   for (const { worker } of directory.workersAtHome()) {
     const report = { running: 4, waiting: 0, activeVersion: 5, loadedVersions: [5], epoch: 1 };
-    directory.workerReport({ worker, leaving: false, ...report }, 0);
+    directory.recordReport({ worker, leaving: false, ...report }, 0);
   }
   for (const effect of directory.tick(0)) {
     if (effect.kind !== 'send' || effect.message.kind !== 'subscribe') continue;
--- a/lab/bench/routing-directory-cost.ts
+++ b/lab/bench/routing-directory-cost.ts
@@ -1,7 +1,7 @@
 /** Measures messages and bytes a node sends to keep its view of the workers, by fleet size. */
 import { stringify } from 'devalue';
 import { createRandomSource } from '../../src/core/random.js';
-import type { WorkerViewMessage } from '../../src/routing/messages.js';
+import type { WorkerLoadMessage } from '../../src/routing/messages.js';
 import { makeFleetRecords } from './routing-decisions.js';
 import { Fleet } from './routing-fixtures.js';
 
@@ -30,7 +30,7 @@
   let messages = 0;
   let sampled = 0;
   let sampledBytes = 0;
-  fleet.onSend = (_, message: WorkerViewMessage) => {
+  fleet.onSend = (_, message: WorkerLoadMessage) => {
     messages += 1;
     if (messages % SIZE_SAMPLE !== 0) return;
     sampled += 1;
--- a/lab/bench/routing-fixtures.ts
+++ b/lab/bench/routing-fixtures.ts
@@ -8,7 +8,7 @@
 } from '../../src/core/identity.js';
 import { createRandomSource } from '../../src/core/random.js';
 import type { MachineRecord, WorkerRecord, WorkerReport } from '../../src/platform/worker.js';
-import type { WorkerViewMessage } from '../../src/routing/messages.js';
+import type { WorkerLoadMessage } from '../../src/routing/messages.js';
 import type { WorkerCandidate } from '../../src/routing/worker-candidate.js';
 import { WorkerDirectory } from '../../src/routing/worker-directory.js';
 import type { WorkerDirectoryEffect } from '../../src/routing/worker-directory-types.js';
@@ -91,13 +91,13 @@
   readonly directories = new Map<string, WorkerDirectory>();
   readonly reports = new Map<string, Partial<WorkerReport> | 'fails' | 'hangs'>();
   /** Decides whether a message is lost. */
-  loses: (message: WorkerViewMessage) => boolean = () => false;
+  loses: (message: WorkerLoadMessage) => boolean = () => false;
   /** Told of each message as it is sent. */
-  onSend: (from: NodeRecord, message: WorkerViewMessage) => void = () => {};
+  onSend: (from: NodeRecord, message: WorkerLoadMessage) => void = () => {};
   #nodes: readonly NodeRecord[] = [];
   #nodeByLife = new Map<string, NodeRecord>();
   #machines: readonly MachineRecord[];
-  #inFlight: { from: NodeRecord; to: NodeIdentity; message: WorkerViewMessage }[] = [];
+  #inFlight: { from: NodeRecord; to: NodeIdentity; message: WorkerLoadMessage }[] = [];
 
   constructor(
     nodes: readonly NodeRecord[],
@@ -124,7 +124,7 @@
       const random = createRandomSource(at + 1);
       const directory = new WorkerDirectory({ self: node, random, subsetSize: this.subsetSize });
       this.directories.set(node.node, directory);
-      directory.updateWanted([{ model: MODEL, zones: this.zones }], this.now);
+      directory.updateRoutedModels([{ model: MODEL, zones: this.zones }], this.now);
     });
     this.#tellAll();
   }
@@ -207,8 +207,8 @@
     const directory = this.directory(node.node);
     const effects =
       answer === 'fails'
-        ? directory.workerUnreachable(worker, this.now)
-        : directory.workerReport(makeReport(worker, answer), this.now);
+        ? directory.recordFailedPoll(worker, this.now)
+        : directory.recordReport(makeReport(worker, answer), this.now);
     this.handle(node, effects);
   }
 }
--- a/lab/bench/routing-retry-storm.ts
+++ b/lab/bench/routing-retry-storm.ts
@@ -109,7 +109,7 @@
       this.#retry(call);
       return;
     }
-    this.#directory.noteSent(decision.candidate.record.worker, now);
+    this.#directory.recordDispatch(decision.candidate.record.worker, now);
     const { record } = decision.candidate;
     const dispatchId = `${call.id}/${call.attempt}`;
     const result = this.#admission.admit({ dispatchId, request, worker: record }, now);
--- a/lab/proofs/durable-jobs/job-world.ts
+++ b/lab/proofs/durable-jobs/job-world.ts
@@ -164,7 +164,7 @@
     if (this.frozen.has(node)) return;
     this.node(node).service.tick();
     this.node(node).dispatcher.tick();
-    for (const job of this.revived.values()) job.advance();
+    for (const job of this.revived.values()) job.listOrVerify();
   }
 
   /** A node takes a job for its owner's being gone, rightly or not. */
--- a/lab/proofs/oracles/not-run-is-true.ts
+++ b/lab/proofs/oracles/not-run-is-true.ts
@@ -1,6 +1,6 @@
 /** A failure that says "not run" is true. */
 import type { Milliseconds } from '../../../src/core/units.js';
-import { ranStateOf } from '../../../src/errors/error-kinds.js';
+import { executionStateOf } from '../../../src/errors/error-kinds.js';
 import type { CallReply } from '../../../src/node/calls.js';
 import type { Observation } from '../../simulation/observation.js';
 import { Oracle } from '../oracle.js';
@@ -64,7 +64,7 @@
   }
 
   #noteReply(callId: string, reply: CallReply): void {
-    if (reply.kind !== 'failed' || ranStateOf(reply.failure) !== 'no') return;
+    if (reply.kind !== 'failed' || executionStateOf(reply.failure) !== 'no') return;
     const call = this.#calls.call(callId);
     const attempt = this.#attempts.get(callId);
     if (call === undefined || attempt === undefined) return;
--- a/lab/proofs/oracles/planned-stop.ts
+++ b/lab/proofs/oracles/planned-stop.ts
@@ -1,7 +1,7 @@
 /** A planned stop of a node or a worker cuts off no request. */
 import type { NodeId } from '../../../src/core/identity.js';
 import type { Milliseconds } from '../../../src/core/units.js';
-import { ranStateOf } from '../../../src/errors/error-kinds.js';
+import { executionStateOf } from '../../../src/errors/error-kinds.js';
 import type { CallReply, NodeCall } from '../../../src/node/calls.js';
 import type { LostCallCause, Observation } from '../../simulation/observation.js';
 import { Oracle } from '../oracle.js';
@@ -72,7 +72,7 @@
       open.call.kind === 'generate' &&
       reply.failure.kind !== 'deadline_exceeded' &&
       (this.#acceptedAt.get(open.call.prompt) ?? Number.NEGATIVE_INFINITY) >= open.at &&
-      ranStateOf(reply.failure) !== 'no';
+      executionStateOf(reply.failure) !== 'no';
     if (!this.#anyStop) return;
     this.compare(!cutOff, at, () => {
       const cause = reply.kind === 'failed' ? `${reply.failure.kind}, ${reply.failure.detail}` : '';
--- a/lab/simulation/interactive-client.ts
+++ b/lab/simulation/interactive-client.ts
@@ -3,7 +3,7 @@
  * idempotency key when it got no final answer.
  */
 import type { Milliseconds } from '../../src/core/units.js';
-import { ranStateOf, retryAfterOf } from '../../src/errors/error-kinds.js';
+import { executionStateOf, retryAfterOf } from '../../src/errors/error-kinds.js';
 import type { Operation } from './action.js';
 import { type Attempt, anyNode, attempt, pauseAfter } from './client.js';
 import type { CallerPlan } from './fleet-plan.js';
@@ -77,5 +77,5 @@
 function isWorthRepeating(outcome: Attempt): boolean {
   if (outcome.kind === 'lost') return true;
   if (outcome.kind === 'done') return false;
-  return retryAfterOf(outcome.failure) !== null || ranStateOf(outcome.failure) === 'unknown';
+  return retryAfterOf(outcome.failure) !== null || executionStateOf(outcome.failure) === 'unknown';
 }
--- a/src/core/format-version.ts
+++ b/src/core/format-version.ts
@@ -9,10 +9,10 @@
 export type FormatVersion = number;
 
 /** The version of records without a version field. */
-export const FIRST_FORMAT: FormatVersion = 1;
+export const FIRST_FORMAT_VERSION: FormatVersion = 1;
 
 /** The version that this build writes. */
-export const OWN_FORMAT: FormatVersion = 2;
+export const CURRENT_FORMAT_VERSION: FormatVersion = 2;
 
 /** Schema of the version field of a record. */
-export const FORMAT_FIELD = z.number().default(FIRST_FORMAT);
+export const FORMAT_VERSION_FIELD = z.number().default(FIRST_FORMAT_VERSION);
--- a/src/core/node-ports.ts
+++ b/src/core/node-ports.ts
@@ -75,10 +75,10 @@
   isAlive(identity: NodeIdentity): boolean;
   isStopping(): boolean;
   /** Runs a callback at the first tick after a delay. */
-  later(delay: Milliseconds, callback: () => void): void;
+  schedule(delay: Milliseconds, callback: () => void): void;
   send(to: NodeIdentity, message: PeerMessage): void;
   reply(callId: string, reply: CallReply): void;
   /** Records a decision for the operators' explain command, without data of callers. */
-  explain(subject: string, decision: string, reason: string): void;
+  recordDecision(subject: string, decision: string, reason: string): void;
   stateChange(module: string, change: string, details: ChangeDetails): void;
 }
--- a/src/dispatch/dispatch-outcomes.ts
+++ b/src/dispatch/dispatch-outcomes.ts
@@ -1,6 +1,6 @@
 /** The outcomes of dispatches at their home. */
 import type { PartialGeneration } from '../core/generation.js';
-import { type Failure, failure, ranStateOf } from '../errors/error-kinds.js';
+import { executionStateOf, type Failure, failure } from '../errors/error-kinds.js';
 import type { EngineEvent } from '../platform/worker.js';
 import type { HomeDispatch } from './dispatch-memory.js';
 import type { DispatchOutcome } from './messages.js';
@@ -12,7 +12,7 @@
 ): DispatchOutcome {
   if (event.kind === 'finished') return { kind: 'finished', result: event.result };
   const reason = failure('engine_failed', event.reason, { ran: event.ran });
-  if (ranStateOf(reason) === 'no') return { kind: 'refused', failure: reason };
+  if (executionStateOf(reason) === 'no') return { kind: 'refused', failure: reason };
   return { kind: 'failed', failure: reason, partial };
 }
 
--- a/src/dispatch/generation-runner.ts
+++ b/src/dispatch/generation-runner.ts
@@ -13,7 +13,7 @@
 } from '../core/generation.js';
 import type { NodeIdentity, WorkerId, ZoneName } from '../core/identity.js';
 import type { Milliseconds, TokenCount } from '../core/units.js';
-import { type Failure, failure, ranStateOf } from '../errors/error-kinds.js';
+import { executionStateOf, type Failure, failure } from '../errors/error-kinds.js';
 import type { DispatchClient, OriginOutcome } from './dispatch-client.js';
 import { longerPartial, PartialAnswer, tokensOf } from './partial-answer.js';
 import { SegmentSequence } from './segment-sequence.js';
@@ -210,7 +210,7 @@
     }
     this.keepPartial(outcome);
     const reason = this.reasonOf(outcome);
-    if (ranStateOf(reason) !== 'no') this.mayHaveRun = true;
+    if (executionStateOf(reason) !== 'no') this.mayHaveRun = true;
     if (this.mayTryAgain(reason)) this.attempt();
     else this.fail(reason, outcome.kind === 'preempted');
   }
@@ -235,14 +235,14 @@
     if (now >= this.order.deadline) return false;
     if (this.stream.hasPassed) return false;
     const repeatable = this.order.request.repeatable || !this.options.singleDispatch;
-    if (ranStateOf(reason) !== 'no' && !repeatable) return false;
+    if (executionStateOf(reason) !== 'no' && !repeatable) return false;
     return this.options.mayRetry(now);
   }
 
   /** Whatever the last attempt says, an earlier one that may have run is not forgotten. */
   private fail(reason: Failure, preempted: boolean): void {
     this.over = true;
-    const ran = ranStateOf(reason);
+    const ran = executionStateOf(reason);
     const hidden = this.mayHaveRun && ran === 'no';
     const told: Failure =
       hidden && this.options.rememberAttempts ? { ...reason, ran: 'unknown' } : reason;
--- a/src/errors/error-kinds.ts
+++ b/src/errors/error-kinds.ts
@@ -2,12 +2,12 @@
 import type { Milliseconds } from '../core/units.js';
 
 /** Whether the work of a request ran: `no` is guaranteed, `unknown` is an uncertain outcome. */
-export type RanState = 'no' | 'yes' | 'unknown';
+export type ExecutionState = 'no' | 'yes' | 'unknown';
 
 /** The HTTP answer to one kind of error. */
 export interface ErrorAnswer {
   readonly status: number;
-  readonly ran: RanState;
+  readonly ran: ExecutionState;
   /** Retry delay for the caller; `null` where a retry of the same request cannot succeed. */
   readonly retryAfter: Milliseconds | null;
   /** One human-readable sentence. */
@@ -16,7 +16,7 @@
 
 function answer(
   status: number,
-  ran: RanState,
+  ran: ExecutionState,
   retryAfter: Milliseconds | null,
   title: string,
 ): ErrorAnswer {
@@ -70,19 +70,19 @@
   /** Overrides the retry delay of the kind. */
   readonly retryAfter?: Milliseconds;
   /** Overrides the execution state of the kind. */
-  readonly ran?: RanState;
+  readonly ran?: ExecutionState;
 }
 
 export function failure(
   kind: ErrorKind,
   detail: string,
-  overrides: { readonly retryAfter?: Milliseconds; readonly ran?: RanState } = {},
+  overrides: { readonly retryAfter?: Milliseconds; readonly ran?: ExecutionState } = {},
 ): Failure {
   return { kind, detail, ...overrides };
 }
 
 /** Whether the work of the failed request ran, as reported to the caller. */
-export function ranStateOf(value: Failure): RanState {
+export function executionStateOf(value: Failure): ExecutionState {
   return value.ran ?? ERROR_ANSWERS[value.kind].ran;
 }
 
@@ -95,6 +95,6 @@
  * Replaces `no` by `unknown` for a call whose key an earlier call used: this call did not run the
  * work, but the earlier one may have.
  */
-export function withoutPromise(value: Failure): Failure {
-  return ranStateOf(value) === 'no' ? { ...value, ran: 'unknown' } : value;
+export function withUnknownExecution(value: Failure): Failure {
+  return executionStateOf(value) === 'no' ? { ...value, ran: 'unknown' } : value;
 }
--- a/src/fleet/cold-workers.ts
+++ b/src/fleet/cold-workers.ts
@@ -148,7 +148,7 @@
 
   private updateGranterState(): void {
     const { log, metrics } = this.options;
-    const state = this.granter.observe();
+    const state = this.granter.refreshState();
     if (state === this.granterState) return;
     this.granterState = state;
     log.state('cold-permits-granter', { state });
--- a/src/fleet/coordination.ts
+++ b/src/fleet/coordination.ts
@@ -72,7 +72,7 @@
       isConfigured: (service) => configuration.services.some(({ name }) => name === service),
       isEvacuated: ({ record }) => options.isEvacuated(record.zone),
       localityOf: options.localities?.of,
-      mode: () => (configuration.requiresSingleVersion ? 'wait' : 'keep'),
+      orderMode: () => (configuration.requiresSingleVersion ? 'wait' : 'keep'),
     });
     this.drains = new StorageDrains({ port, lock, log, isEmpty: options.isStorageEmpty });
     if (node.singletonTasks === undefined) return;
--- a/src/fleet/crash-reports.ts
+++ b/src/fleet/crash-reports.ts
@@ -8,7 +8,7 @@
 import { firstValueFrom, Subject } from 'rxjs';
 import * as z from 'zod';
 import type { NodeId } from '../core/identity.js';
-import { openRecord } from '../core/open-record.js';
+import { looseRecord } from '../core/open-record.js';
 import type { Milliseconds, Revision } from '../core/units.js';
 import type { Clock } from '../serving/clock.js';
 import { EVIDENCE_LIFETIME } from '../serving/crash-evidence.js';
@@ -36,7 +36,7 @@
 
 const MAX_KEYS_PER_COMMIT = 32;
 
-const CRASH_RECORD = openRecord({
+const CRASH_RECORD = looseRecord({
   /** Fingerprints. */
   requests: z.array(z.string()),
   /** Time of day, in milliseconds. */
--- a/src/fleet/fleet-registry.ts
+++ b/src/fleet/fleet-registry.ts
@@ -3,7 +3,7 @@
  * lease may expire while its node is running, so correctness must not depend on liveness.
  */
 import { firstValueFrom, Subject } from 'rxjs';
-import { type FormatVersion, OWN_FORMAT } from '../core/format-version.js';
+import { CURRENT_FORMAT_VERSION, type FormatVersion } from '../core/format-version.js';
 import type { NodeId, ZoneName } from '../core/identity.js';
 import type { Milliseconds } from '../core/units.js';
 import type { JobOwner } from '../jobs/job-records.js';
@@ -328,7 +328,13 @@
     const grant = await store.grantLease(ttl);
     if (grant.kind !== 'granted' || this.isStopped) return false;
     const { incarnation, address } = self;
-    const record: NodeRecord = { incarnation, zone, address, capacity, format: OWN_FORMAT };
+    const record: NodeRecord = {
+      incarnation,
+      zone,
+      address,
+      capacity,
+      format: CURRENT_FORMAT_VERSION,
+    };
     const value = JSON.stringify(record);
     const put = [{ key: `${NODE_PREFIX}${self.node}`, value, lease: grant.lease }];
     const outcome = await store.commit({ expected: [], put });
--- a/src/fleet/node-record.ts
+++ b/src/fleet/node-record.ts
@@ -1,6 +1,6 @@
 /** The record that each node registers in the shared store. */
 import * as z from 'zod';
-import { FORMAT_FIELD } from '../core/format-version.js';
+import { FORMAT_VERSION_FIELD } from '../core/format-version.js';
 
 const NODE_RECORD = z.object({
   incarnation: z.string(),
@@ -9,7 +9,7 @@
   /** CPU share of the node's machine, in standard cores. */
   capacity: z.number().default(1),
   /** Format version that the node's build reads. */
-  format: FORMAT_FIELD,
+  format: FORMAT_VERSION_FIELD,
 });
 
 export type NodeRecord = z.infer<typeof NODE_RECORD>;
--- a/src/fleet/weight-rollout.ts
+++ b/src/fleet/weight-rollout.ts
@@ -45,7 +45,7 @@
   /** The zone or region that serves the callers of a zone first. @default each zone itself */
   readonly localityOf?: ((zone: ZoneName) => LocalityName) | undefined;
   /** How workers that change weights treat their running requests. */
-  readonly mode: () => WeightOrderMode;
+  readonly orderMode: () => WeightOrderMode;
 }
 
 /** Share of all workers that may load at once; more concurrent loads slow each other down. */
@@ -189,7 +189,7 @@
   }
 
   private async performChange(change: PendingChange): Promise<void> {
-    const { engine, lock, holder, log, mode } = this.options;
+    const { engine, lock, holder, log, orderMode: mode } = this.options;
     const { worker, model } = change;
     const report = await engine.report(worker.record);
     if (report === undefined || isOtherIncarnation(report, worker)) {
--- a/src/gateway/problem-document.ts
+++ b/src/gateway/problem-document.ts
@@ -3,12 +3,12 @@
  * `retry_after_ms`.
  */
 import { type Milliseconds, SECOND } from '../core/units.js';
-import type { RanState } from '../errors/error-kinds.js';
+import type { ExecutionState } from '../errors/error-kinds.js';
 import {
   ERROR_ANSWERS,
   type ErrorKind,
+  executionStateOf,
   type Failure,
-  ranStateOf,
   retryAfterOf,
 } from '../errors/error-kinds.js';
 
@@ -25,7 +25,7 @@
   readonly status: number;
   readonly detail: string;
   readonly kind: ErrorKind;
-  readonly ran: RanState;
+  readonly ran: ExecutionState;
   /** `null` where repeating the same request cannot help. */
   readonly retry_after_ms: Milliseconds | null;
 }
@@ -39,7 +39,7 @@
     status,
     detail: value.detail,
     kind: value.kind,
-    ran: ranStateOf(value),
+    ran: executionStateOf(value),
     retry_after_ms: retryAfterOf(value),
   };
 }
--- a/src/gateway/request-pipeline.ts
+++ b/src/gateway/request-pipeline.ts
@@ -4,7 +4,12 @@
 import type { ServerResponse } from 'node:http';
 import { Result } from 'true-myth';
 import type { Milliseconds } from '../core/units.js';
-import { type ErrorKind, type Failure, failure, withoutPromise } from '../errors/error-kinds.js';
+import {
+  type ErrorKind,
+  type Failure,
+  failure,
+  withUnknownExecution,
+} from '../errors/error-kinds.js';
 import { AccountRegistry } from './account-registry.js';
 import { BodyReader } from './body-reader.js';
 import type { CallHandler } from './call-handler.js';
@@ -147,7 +152,7 @@
 
   #refuse({ request, response }: Exchange, value: Failure): void {
     this.#counters.countFailure(value.kind);
-    const told = isMarkedNotRepeatable(request.headers) ? withoutPromise(value) : value;
+    const told = isMarkedNotRepeatable(request.headers) ? withUnknownExecution(value) : value;
     if (response.headersSent) response.destroy();
     else writeProblem(request, response, told, this.#limits.lingerTime);
   }
--- a/src/jobs/item-dispatcher.ts
+++ b/src/jobs/item-dispatcher.ts
@@ -236,7 +236,7 @@
     const details = describeRun(job, entry, worker, this.options.clock.wallTime());
     if (end === 'completed') this.options.log.decision('item-run-completed', details);
     else this.options.log.decision('item-run-ended', { ...details, end });
-    job.advance();
+    job.listOrVerify();
   }
 
   private recordOutcome(worker: KnownWorker, end: ItemRunEnd, now: Milliseconds): void {
@@ -254,7 +254,7 @@
       cancelWork(entry);
       job.finish(entry, entry.progress.toTerminated(entry.item.id));
     }
-    job.advance();
+    job.listOrVerify();
   }
 }
 
--- a/src/jobs/item-scorer.ts
+++ b/src/jobs/item-scorer.ts
@@ -190,7 +190,7 @@
       scoring.cancel();
       job.finish(entry, { ...text, score: outcome.score });
       this.options.log.decision('item-scored', details);
-      job.advance();
+      job.listOrVerify();
       return;
     }
     const now = this.options.clock.now();
@@ -205,7 +205,7 @@
     if (scoring.failedAttempts < route.maxAttempts) return;
     scoring.cancel();
     job.finish(entry, entry.progress.toTerminated(item.id));
-    job.advance();
+    job.listOrVerify();
   }
 
   private estimateFor(route: Route): LatencyEstimate {
--- a/src/jobs/job-listing.ts
+++ b/src/jobs/job-listing.ts
@@ -154,7 +154,7 @@
   }
 
   /** Lists pending results or verifies the ownership, whichever is due. */
-  advance(): void {
+  listOrVerify(): void {
     if (this.isChanging || !this.canList) return;
     const sinceListing = this.options.clock.now() - this.lastListingAt;
     if (this.pending.length > 0 && sinceListing >= this.listingInterval()) {
--- a/src/jobs/job-records.ts
+++ b/src/jobs/job-records.ts
@@ -5,13 +5,13 @@
  * optional.
  */
 import * as z from 'zod';
-import { openRecord } from '../core/open-record.js';
+import { looseRecord } from '../core/open-record.js';
 import type { Milliseconds } from '../core/units.js';
 import { REPLICA_LOCATION } from '../journal/replica-location.js';
 import type { WeightNeed } from './job-peers.js';
 
 /** The request for the score of an item's text; its host and path select its route. */
-const SCORE_REQUEST = openRecord({
+const SCORE_REQUEST = looseRecord({
   id: z.string(),
   host: z.string(),
   /** Path and query string. */
@@ -21,7 +21,7 @@
 });
 
 /** One item of a job: a request for a worker. */
-const ITEM = openRecord({
+const ITEM = looseRecord({
   id: z.string(),
   path: z.string(),
   /** Alternating header names and values. */
@@ -39,7 +39,7 @@
 });
 
 /** A job as submitted. */
-export const SPECIFICATION = openRecord({
+export const SPECIFICATION = looseRecord({
   id: z.string(),
   host: z.string(),
   /** Path of the submission, which selects the job's route. */
@@ -57,16 +57,16 @@
   items: z.array(ITEM),
 });
 
-const OWNER = openRecord({
+const OWNER = looseRecord({
   node: z.string(),
   incarnation: z.string(),
   /** Address at which other nodes reach the owner. */
   address: z.string(),
 });
 
-const ROUTED_REQUEST = openRecord({ host: z.string(), path: z.string() });
+const ROUTED_REQUEST = looseRecord({ host: z.string(), path: z.string() });
 
-const HEAD = openRecord({
+const HEAD = looseRecord({
   /** The node incarnation that runs the items; `null` if the job is released. */
   owner: OWNER.nullable(),
   /** The tenant of the specification. */
@@ -91,7 +91,7 @@
 });
 
 /** A listed result. */
-export const RESULT = openRecord({
+export const RESULT = looseRecord({
   id: z.string(),
   state: z.enum(['completed', 'terminated']),
   text: z.string(),
@@ -100,11 +100,11 @@
   score: z.string().optional(),
 });
 
-const PAGE = openRecord({ first: z.number(), results: z.array(RESULT) });
+const PAGE = looseRecord({ first: z.number(), results: z.array(RESULT) });
 
 const PROGRESS = z.record(
   z.string(),
-  openRecord({
+  looseRecord({
     events: z.array(z.string()),
     lastEventId: z.number(),
     versions: z.array(z.number()),
--- a/src/jobs/owned-job.ts
+++ b/src/jobs/owned-job.ts
@@ -190,8 +190,8 @@
   }
 
   /** Lists pending results or verifies the ownership, whichever is due. */
-  advance(): void {
-    if (this.isOpen) this.listing.advance();
+  listOrVerify(): void {
+    if (this.isOpen) this.listing.listOrVerify();
   }
 
   /** Cancels the job; resolves with whether the cancellation is stored. */
--- a/src/jobs/owned-jobs.ts
+++ b/src/jobs/owned-jobs.ts
@@ -114,7 +114,7 @@
   }
 
   tick(): void {
-    for (const job of this.jobs.values()) job.advance();
+    for (const job of this.jobs.values()) job.listOrVerify();
     this.dropOld();
   }
 
--- a/src/journal/journal-entries.ts
+++ b/src/journal/journal-entries.ts
@@ -3,20 +3,20 @@
  * store could not accept yet: that a job was created, pages of its results, and that it ended.
  */
 import * as z from 'zod';
-import { openRecord } from '../core/open-record.js';
+import { looseRecord } from '../core/open-record.js';
 import { RESULT, SPECIFICATION } from '../jobs/job-records.js';
 import { type DiskId, REPLICA_LOCATION } from './replica-location.js';
 
 const KNOWN_ENTRY = z.discriminatedUnion('kind', [
   /** The job was accepted. */
-  openRecord({
+  looseRecord({
     kind: z.literal('created'),
     spec: SPECIFICATION,
     replicas: z.array(REPLICA_LOCATION),
   }),
   /** Results at successive positions; becomes the page with this number in the shared store. */
-  openRecord({ kind: z.literal('page'), number: z.number(), results: z.array(RESULT) }),
-  openRecord({ kind: z.literal('ended') }),
+  looseRecord({ kind: z.literal('page'), number: z.number(), results: z.array(RESULT) }),
+  looseRecord({ kind: z.literal('ended') }),
 ]);
 
 export type JournalEntry = z.infer<typeof KNOWN_ENTRY>;
@@ -31,7 +31,7 @@
  * An entry whose kind only a newer build knows. Replicas store it and owners ignore it. It carries
  * its own key, because this build can't derive one.
  */
-const UNKNOWN_ENTRY = openRecord({ kind: z.string(), key: z.string() }).refine(
+const UNKNOWN_ENTRY = looseRecord({ kind: z.string(), key: z.string() }).refine(
   ({ kind }) => !KNOWN_KINDS.has(kind),
 );
 
@@ -39,7 +39,7 @@
 export const JOURNAL_ENTRY = z.union([KNOWN_ENTRY, UNKNOWN_ENTRY]) as unknown as typeof KNOWN_ENTRY;
 
 /** The owner that writes a job's entries. Each term has one owner, and terms only rise. */
-export const JOURNAL_HOLDER = openRecord({
+export const JOURNAL_HOLDER = looseRecord({
   job: z.string(),
   term: z.number(),
   /** Incarnation of the node that writes. */
--- a/src/journal/journal-file.ts
+++ b/src/journal/journal-file.ts
@@ -8,9 +8,9 @@
 import { type FileHandle, mkdir, open, readdir, readFile, rm } from 'node:fs/promises';
 import path from 'node:path';
 import * as z from 'zod';
-import { FORMAT_FIELD, OWN_FORMAT } from '../core/format-version.js';
+import { CURRENT_FORMAT_VERSION, FORMAT_VERSION_FIELD } from '../core/format-version.js';
 import { placementHash } from '../core/hashing.js';
-import { openRecord } from '../core/open-record.js';
+import { looseRecord } from '../core/open-record.js';
 import { JOURNAL_ENTRY, JOURNAL_HOLDER } from './journal-entries.js';
 import type { JournalChange } from './journal-state.js';
 import type { DiskId } from './replica-location.js';
@@ -21,14 +21,14 @@
 const NUMBER_DIGITS = 8;
 
 const LINE = z.discriminatedUnion('kind', [
-  openRecord({ kind: z.literal('disk'), disk: z.string(), format: FORMAT_FIELD }),
-  openRecord({
+  looseRecord({ kind: z.literal('disk'), disk: z.string(), format: FORMAT_VERSION_FIELD }),
+  looseRecord({
     kind: z.literal('held'),
     holder: JOURNAL_HOLDER,
     entries: z.array(JOURNAL_ENTRY),
     at: z.number(),
   }),
-  openRecord({
+  looseRecord({
     kind: z.literal('released'),
     holder: JOURNAL_HOLDER,
     keys: z.array(z.string()),
@@ -118,7 +118,7 @@
     const handle = await open(path.join(this.folder, name), 'w');
     this.size = 0;
     try {
-      const diskLine = { kind: 'disk', disk: this.disk, format: OWN_FORMAT } as const;
+      const diskLine = { kind: 'disk', disk: this.disk, format: CURRENT_FORMAT_VERSION } as const;
       await this.writeLines(handle, [diskLine, ...this.unread, ...changes]);
     } catch (error) {
       await handle.close().catch(() => undefined);
--- a/src/journal/replica-location.ts
+++ b/src/journal/replica-location.ts
@@ -1,12 +1,12 @@
 /** Location of a journal replica: its node, zone, address and disk. */
 import * as z from 'zod';
 import type { NodeId, ZoneName } from '../core/identity.js';
-import { openRecord } from '../core/open-record.js';
+import { looseRecord } from '../core/open-record.js';
 
 /** Identity of a disk's content: an empty disk gets a new one. */
 export type DiskId = string;
 
-export const REPLICA_LOCATION = openRecord({
+export const REPLICA_LOCATION = looseRecord({
   node: z.string(),
   zone: z.string(),
   address: z.string(),
--- a/src/journal/replica-record.ts
+++ b/src/journal/replica-record.ts
@@ -1,16 +1,20 @@
 /** Record of a journal replica in the shared store. */
 import * as z from 'zod';
-import { FORMAT_FIELD, type FormatVersion, OWN_FORMAT } from '../core/format-version.js';
+import {
+  CURRENT_FORMAT_VERSION,
+  FORMAT_VERSION_FIELD,
+  type FormatVersion,
+} from '../core/format-version.js';
 import { REPLICA_LOCATION, type ReplicaLocation } from './replica-location.js';
 
 /** Key prefix of replica records, under the fleet prefix. */
 export const REPLICA_PREFIX = 'fleet/replica/';
 
-const REPLICA_RECORD = z.object({ ...REPLICA_LOCATION.shape, format: FORMAT_FIELD });
+const REPLICA_RECORD = z.object({ ...REPLICA_LOCATION.shape, format: FORMAT_VERSION_FIELD });
 
 /** Encodes the record of a replica that runs this build. */
 export function replicaRecordOf(location: ReplicaLocation): string {
-  return JSON.stringify({ ...location, format: OWN_FORMAT });
+  return JSON.stringify({ ...location, format: CURRENT_FORMAT_VERSION });
 }
 
 /** Decodes the location in a record; `undefined` if the text is not a valid record. */
--- a/src/node/node-core.ts
+++ b/src/node/node-core.ts
@@ -7,7 +7,7 @@
 import type { NodeIdentity, NodeRecord } from '../core/identity.js';
 import { sameIdentity } from '../core/identity.js';
 import type { Milliseconds } from '../core/units.js';
-import { withoutPromise } from '../errors/error-kinds.js';
+import { withUnknownExecution } from '../errors/error-kinds.js';
 import type { NodeGauges } from '../telemetry/node-metrics.js';
 import type { NodeCall, Readiness } from './calls.js';
 import type { NodeEffect, NodeEvent } from './node-events.js';
@@ -111,7 +111,7 @@
         modules.workerReport(event.report);
         return;
       case 'worker-unreachable':
-        modules.effects.directory(modules.directory.workerUnreachable(event.worker, now));
+        modules.effects.directory(modules.directory.recordFailedPoll(event.worker, now));
         return;
       case 'order-result':
         modules.effects.weights(modules.weights.orderResult(event.orderId, event.result, now));
@@ -188,7 +188,7 @@
     const refusal = this.stoppingSince === null ? null : this.modules.stoppingFailure();
     if (refusal !== null && call.kind !== 'status' && call.kind !== 'explain') {
       const mayHaveRunBefore = call.kind === 'generate' && !call.repeatable;
-      const told = mayHaveRunBefore ? withoutPromise(refusal) : refusal;
+      const told = mayHaveRunBefore ? withUnknownExecution(refusal) : refusal;
       this.modules.context.reply(callId, { kind: 'failed', failure: told });
       return;
     }
--- a/src/node/node-modules.ts
+++ b/src/node/node-modules.ts
@@ -174,7 +174,7 @@
   workerReport(report: WorkerReport): void {
     const now = this.context.now();
     const leaving = report.leaving && this.settings.mechanisms['leaving-signal'];
-    this.effects.directory(this.directory.workerReport({ ...report, leaving }, now));
+    this.effects.directory(this.directory.recordReport({ ...report, leaving }, now));
     this.effects.weights(this.weights.workerReport(report, now));
   }
 
@@ -252,10 +252,10 @@
       isConfirmed: () => this.membership.isConfirmed(context.now()),
       isAlive: (identity) => this.isAlive(identity),
       isStopping: () => this.isStopping(),
-      later: (delay, callback) => context.later(delay, callback),
+      schedule: (delay, callback) => context.later(delay, callback),
       send: (to, message) => context.send(to, message),
       reply: (callId, reply) => context.reply(callId, reply),
-      explain: (subject, decision, reason) => context.explain(subject, decision, reason),
+      recordDecision: (subject, decision, reason) => context.explain(subject, decision, reason),
       stateChange: (module, change, details) => context.stateChange(module, change, details),
     };
   }
--- a/src/node/peer-message.ts
+++ b/src/node/peer-message.ts
@@ -7,7 +7,7 @@
 import type { MachineFeedMessage } from '../machine-feed/messages.js';
 import type { MembershipMessage } from '../membership/messages.js';
 import type { RolloutMessage } from '../rollouts/messages.js';
-import type { WorkerViewMessage } from '../routing/messages.js';
+import type { WorkerLoadMessage } from '../routing/messages.js';
 import type { StatusMessage } from './status-messages.js';
 
 /** A message between two nodes. */
@@ -18,5 +18,5 @@
   | { readonly module: 'ledger'; readonly body: LedgerMessage }
   | { readonly module: 'dispatch'; readonly body: DispatchMessage }
   | { readonly module: 'rollouts'; readonly body: RolloutMessage }
-  | { readonly module: 'routing'; readonly body: WorkerViewMessage }
+  | { readonly module: 'routing'; readonly body: WorkerLoadMessage }
   | { readonly module: 'status'; readonly body: StatusMessage };
--- a/src/node/view-refresher.ts
+++ b/src/node/view-refresher.ts
@@ -7,7 +7,7 @@
 import type { Milliseconds } from '../core/units.js';
 import type { LedgerDomain } from '../ledger/ledger.js';
 import type { MachineRecord, WorkerRecord } from '../platform/worker.js';
-import type { WantedModel } from '../routing/worker-topology.js';
+import type { RoutedModel } from '../routing/worker-topology.js';
 import type { DiskResidency } from './disk-residency.js';
 import type { NodeModules } from './node-modules.js';
 
@@ -46,7 +46,7 @@
       .filter((intent) => intent.zones.includes(this.modules.settings.self.zone))
       .map(({ model, zones }) => ({ model, zones, samplesDriven: driven.get(model) ?? 0 }));
     this.modules.effects.directory(
-      this.modules.directory.updateWanted(this.wantedOrAll(wanted), now),
+      this.modules.directory.updateRoutedModels(this.wantedOrAll(wanted), now),
     );
     const liveInZone = (zone: string): readonly NodeRecord[] =>
       this.modules.membership.liveInZone(zone);
@@ -105,7 +105,7 @@
     return this.modules.settings.zones.map((zone) => zone.name);
   }
 
-  private wantedOrAll(wanted: readonly WantedModel[]): readonly WantedModel[] {
+  private wantedOrAll(wanted: readonly RoutedModel[]): readonly RoutedModel[] {
     if (this.modules.settings.mechanisms['residency-routing']) return wanted;
     const zones = this.modules.settings.zones.map((zone) => zone.name);
     return wanted.map((model) => ({ ...model, zones }));
--- a/src/node/work-modules.ts
+++ b/src/node/work-modules.ts
@@ -12,7 +12,7 @@
 import { GenerationRunner } from '../dispatch/generation-runner.js';
 import { HomeDispatcher } from '../dispatch/home-dispatcher.js';
 import type { DispatchMessage, DispatchOutcome } from '../dispatch/messages.js';
-import { ranStateOf } from '../errors/error-kinds.js';
+import { executionStateOf } from '../errors/error-kinds.js';
 import type { EngineEvent, WorkerRecord } from '../platform/worker.js';
 import { RequestCalls } from '../requests/request-calls.js';
 import { RetentionSweeper } from '../retention/retention-sweeper.js';
@@ -200,7 +200,8 @@
         mayRetry: (now) => this.retryBudget.tryRetry(now),
         countFirstAttempt: (now) => this.retryBudget.recordFirstAttempt(now),
         nextDispatchId: () => this.modules.nextId(),
-        explain: (subject, decision, reason) => this.ports.explain(subject, decision, reason),
+        explain: (subject, decision, reason) =>
+          this.ports.recordDecision(subject, decision, reason),
         mayResume: (request, partial, worker) =>
           this.modules.settings.resume && this.guard.mayResume(request, partial, worker),
         onResumed: (tokens) => {
@@ -248,5 +249,5 @@
 function callOutcomeOf(outcome: DispatchOutcome): CallOutcome {
   if (outcome.kind === 'finished' || outcome.kind === 'preempted') return 'succeeded';
   if (outcome.kind === 'refused' || outcome.failure.kind !== 'engine_failed') return 'refused';
-  return ranStateOf(outcome.failure) === 'no' ? 'refused' : 'failed';
+  return executionStateOf(outcome.failure) === 'no' ? 'refused' : 'failed';
 }
--- a/src/node/work-placement.ts
+++ b/src/node/work-placement.ts
@@ -46,7 +46,7 @@
     });
     if (decision.kind === 'refused') return decision;
     const { record, home } = decision.candidate;
-    this.directory.noteSent(record.worker, now);
+    this.directory.recordDispatch(record.worker, now);
     return { kind: 'worker', worker: record.worker, home };
   }
 
--- a/src/placement/permit-granter.ts
+++ b/src/placement/permit-granter.ts
@@ -45,7 +45,7 @@
   constructor(private readonly options: PermitGranterOptions) {}
 
   /** Reads the fencing token. Periodic calls start the wait soon after a token is acquired. */
-  observe(): GranterState {
+  refreshState(): GranterState {
     const { clock, fencingToken, tokenValidity } = this.options;
     const token = fencingToken();
     if (token === undefined) return 'none';
@@ -62,7 +62,7 @@
    * Answers a gateway's requests; while waiting, the answer has the workers' warmth and no permits.
    */
   answer(requests: readonly PermitRequest[]): PermitAnswer {
-    const state = this.observe();
+    const state = this.refreshState();
     if (state === 'none') return NOT_GRANTER;
     const grants = requests.map((request) => this.grant(request, state === 'open'));
     return { term: this.token, grants: grants.filter((grant) => grant !== undefined) };
--- a/src/platform/engine-stream-client.ts
+++ b/src/platform/engine-stream-client.ts
@@ -6,7 +6,7 @@
 import type { GenerationRequest, TokenSegment } from '../core/generation.js';
 import { HTTP_STATUS } from '../core/http-status.js';
 import type { Milliseconds, TokenCount } from '../core/units.js';
-import type { RanState } from '../errors/error-kinds.js';
+import type { ExecutionState } from '../errors/error-kinds.js';
 import { completionChunk, encodeGeneration } from './engine-wire-client.js';
 import { onConnected, parseJson, requestOptions } from './http-exchange-client.js';
 import { readLines } from './line-reader-client.js';
@@ -100,7 +100,7 @@
     this.options.listener(event);
   }
 
-  private fail(reason: string, ran: RanState = 'unknown'): void {
+  private fail(reason: string, ran: ExecutionState = 'unknown'): void {
     if (this.ended) return;
     this.stop();
     this.options.listener({ kind: 'failed', ran: this.connected ? ran : 'no', reason });
--- a/src/platform/worker.ts
+++ b/src/platform/worker.ts
@@ -4,7 +4,7 @@
 import type { GenerationResult, TokenSegment } from '../core/generation.js';
 import type { ModelName, WorkerId, ZoneName } from '../core/identity.js';
 import type { Milliseconds, WeightVersion } from '../core/units.js';
-import type { RanState } from '../errors/error-kinds.js';
+import type { ExecutionState } from '../errors/error-kinds.js';
 
 /** A model worker as the machine list names it. */
 export interface WorkerRecord {
@@ -70,7 +70,7 @@
   | {
       readonly kind: 'failed';
       /** `no` only where the engine cannot have accepted the work. */
-      readonly ran: RanState;
+      readonly ran: ExecutionState;
       readonly reason: string;
     };
 
--- a/src/requests/claimed-request.ts
+++ b/src/requests/claimed-request.ts
@@ -10,7 +10,12 @@
 import type { Milliseconds } from '../core/units.js';
 import { SECOND } from '../core/units.js';
 import type { GenerationOutcome, GenerationRunner } from '../dispatch/generation-runner.js';
-import { type Failure, failure, type RanState, ranStateOf } from '../errors/error-kinds.js';
+import {
+  type ExecutionState,
+  executionStateOf,
+  type Failure,
+  failure,
+} from '../errors/error-kinds.js';
 import type { LedgerChange } from '../ledger/ledger.js';
 import { type LedgerRecord, type RequestRecord, requestKey } from '../rollouts/records.js';
 import { decodeResult, encodeResult } from '../rollouts/step-bodies.js';
@@ -93,7 +98,7 @@
    * Whether the work behind the key ran, for a failure of this call: an earlier call with the same
    * key may have run it, as long as this one does not hold the key.
    */
-  private ranSoFar(): RanState {
+  private ranSoFar(): ExecutionState {
     return this.holdsKey && !this.dispatched ? 'no' : 'unknown';
   }
 
@@ -154,7 +159,7 @@
       this.end({ kind: 'failed', failure: failure('outcome_unknown', detail) });
       return;
     }
-    this.node.later(POLL_INTERVAL, () => {
+    this.node.schedule(POLL_INTERVAL, () => {
       if (!this.over) this.start();
     });
   }
@@ -193,7 +198,7 @@
       this.recordResult(outcome.result);
       return;
     }
-    const notRun = ranStateOf(outcome.failure) === 'no';
+    const notRun = executionStateOf(outcome.failure) === 'no';
     if (!notRun) this.node.counters.increment('requests_unknown');
     const state: RequestRecord['state'] = notRun
       ? { kind: 'not-run' }
--- a/src/requests/request-calls.ts
+++ b/src/requests/request-calls.ts
@@ -8,7 +8,7 @@
 import type { NodePorts } from '../core/node-ports.js';
 import type { Milliseconds } from '../core/units.js';
 import type { GenerationRunner, RunningGeneration } from '../dispatch/generation-runner.js';
-import { type Failure, failure, withoutPromise } from '../errors/error-kinds.js';
+import { type Failure, failure, withUnknownExecution } from '../errors/error-kinds.js';
 import type { CallReply } from '../node/calls.js';
 import { ClaimedRequest } from './claimed-request.js';
 import { type GenerateCall, runRepeatable } from './interactive-request.js';
@@ -39,7 +39,7 @@
   call(callId: string, call: GenerateCall): void {
     const answer = this.permission(call.account, call.model);
     if (answer.kind === 'refused') {
-      const told = call.repeatable ? answer.failure : withoutPromise(answer.failure);
+      const told = call.repeatable ? answer.failure : withUnknownExecution(answer.failure);
       this.finish(callId, { kind: 'failed', failure: told });
       return;
     }
--- a/src/retention/retention-sweeper.ts
+++ b/src/retention/retention-sweeper.ts
@@ -112,7 +112,7 @@
     this.node.ledger.change(address, expireStep(), deadline, (outcome) => {
       if (outcome.kind !== 'changed' || outcome.value?.kind !== 'step') return;
       if (outcome.value.state !== 'expired') return;
-      this.node.explain(key, 'expired', 'its time to be read is over');
+      this.node.recordDecision(key, 'expired', 'its time to be read is over');
       this.node.ledger.removeRegisters(domain, key, pagePrefix(key));
       this.node.ledger.removeBodies(domain, key, null);
     });
--- a/src/rollouts/acknowledged-bodies.ts
+++ b/src/rollouts/acknowledged-bodies.ts
@@ -37,7 +37,11 @@
     if (digests.length === 0) return 0;
     this.forgotten = end;
     this.node.ledger.removeBodies(this.record.intent, this.stepKey, digests);
-    this.node.explain(this.stepKey, `${digests.length} results forgotten`, 'the ledger was full');
+    this.node.recordDecision(
+      this.stepKey,
+      `${digests.length} results forgotten`,
+      'the ledger was full',
+    );
     return digests.length;
   }
 }
--- a/src/rollouts/delivery-appender.ts
+++ b/src/rollouts/delivery-appender.ts
@@ -74,7 +74,7 @@
     readPages(this.node, this.record.intent, this.stepKey, this.page, (pages) => {
       this.busy = false;
       if (pages === null) {
-        this.node.later(RETRY_PAUSE, () => this.load(done));
+        this.node.schedule(RETRY_PAUSE, () => this.load(done));
         return;
       }
       for (const page of pages) this.absorb(page);
--- a/src/rollouts/step-calls.ts
+++ b/src/rollouts/step-calls.ts
@@ -128,7 +128,7 @@
           return;
         }
         if (!existedBefore) this.node.counters.increment('steps_submitted');
-        this.node.explain(address.key, 'submitted', `${value.sampleCount} samples`);
+        this.node.recordDecision(address.key, 'submitted', `${value.sampleCount} samples`);
         const { stepId, sampleCount } = value;
         this.done(callId, { kind: 'step-accepted', stepId, sampleCount, repeated: existedBefore });
       },
--- a/src/rollouts/step-driver.ts
+++ b/src/rollouts/step-driver.ts
@@ -9,7 +9,7 @@
 import type { Milliseconds } from '../core/units.js';
 import { SECOND } from '../core/units.js';
 import type { GenerationOutcome } from '../dispatch/generation-runner.js';
-import { type ErrorKind, ranStateOf, retryAfterOf } from '../errors/error-kinds.js';
+import { type ErrorKind, executionStateOf, retryAfterOf } from '../errors/error-kinds.js';
 import type { SampleRequest } from '../node/calls.js';
 import { AcknowledgedBodies } from './acknowledged-bodies.js';
 import { DeliveryAppender } from './delivery-appender.js';
@@ -182,7 +182,7 @@
     if (entry.liveCopies > 0) return;
     this.running.stop(sample.key);
     this.queue?.putBack(sample);
-    if (ranStateOf(outcome.failure) === 'no') {
+    if (executionStateOf(outcome.failure) === 'no') {
       this.window.refused(this.running.size);
       const pause = Math.min(retryAfterOf(outcome.failure) ?? RETRY_PAUSE, RETRY_PAUSE);
       this.pausedUntil = this.node.now() + pause;
@@ -202,7 +202,7 @@
 
   private makeRoom(): void {
     if (this.acknowledgedBodies.forget() > 0) return;
-    this.node.explain(this.key, 'paused', 'the ledger is full');
+    this.node.recordDecision(this.key, 'paused', 'the ledger is full');
   }
 
   private regenerate(sampleKey: string, reason: string): void {
@@ -210,7 +210,7 @@
     if (entry === undefined) return;
     this.running.forget(sampleKey);
     this.node.counters.increment('samples_stale');
-    this.node.explain(this.key, `sample ${sampleKey} runs again`, reason);
+    this.node.recordDecision(this.key, `sample ${sampleKey} runs again`, reason);
     this.queue?.putBack(entry.sample);
   }
 
@@ -242,7 +242,11 @@
     this.running.forgetAll();
     this.phase = 'ending';
     this.endState = state;
-    this.node.explain(this.key, `ended: ${state}`, `${this.appender.deliveredCount} delivered`);
+    this.node.recordDecision(
+      this.key,
+      `ended: ${state}`,
+      `${this.appender.deliveredCount} delivered`,
+    );
     this.pausedUntil = 0;
     this.markEnded();
   }
--- a/src/rollouts/step-supervisor.ts
+++ b/src/rollouts/step-supervisor.ts
@@ -161,7 +161,7 @@
       node.counters.increment('steps_taken_over');
       node.stateChange('rollouts', 'step taken over', { step: step.key });
     }
-    node.explain(step.key, 'driven here', 'first live member of the replica group');
+    node.recordDecision(step.key, 'driven here', 'first live member of the replica group');
     const deadline = step.firstSeen + step.record.timeout;
     step.wasDriven = true;
     step.driver = new StepDriver(this.ports, step.key, step.record, deadline);
@@ -175,7 +175,7 @@
     step.lastHeard = this.ports.node.now();
     step.wasDriven = true;
     if (step.driver === null || !this.outranks(from, step)) return;
-    this.ports.node.explain(key, 'stood back', `${from.node} drives the step`);
+    this.ports.node.recordDecision(key, 'stood back', `${from.node} drives the step`);
     step.driver.abandon();
     step.driver = null;
   }
--- a/src/routing/load-publisher.ts
+++ b/src/routing/load-publisher.ts
@@ -4,12 +4,12 @@
  */
 import { identityKey, type NodeIdentity, type WorkerId } from '../core/identity.js';
 import type { Milliseconds } from '../core/units.js';
-import type { WorkerLoad, WorkerViewMessage } from './messages.js';
+import type { WorkerLoad, WorkerLoadMessage } from './messages.js';
 
 /** A message to be sent to a node. */
 export interface LoadPush {
   readonly to: NodeIdentity;
-  readonly message: WorkerViewMessage;
+  readonly message: WorkerLoadMessage;
 }
 
 export interface LoadPublisherOptions {
--- a/src/routing/messages.ts
+++ b/src/routing/messages.ts
@@ -24,7 +24,7 @@
 }
 
 /** A message between the worker directories of two nodes. */
-export type WorkerViewMessage =
+export type WorkerLoadMessage =
   | {
       /** Sent to a home; replaces the sender's earlier subscription there. */
       readonly kind: 'subscribe';
--- a/src/routing/worker-directory-types.ts
+++ b/src/routing/worker-directory-types.ts
@@ -3,7 +3,7 @@
 import type { RandomSource } from '../core/random.js';
 import type { Milliseconds } from '../core/units.js';
 import type { WorkerRecord } from '../platform/worker.js';
-import type { WorkerViewMessage } from './messages.js';
+import type { WorkerLoadMessage } from './messages.js';
 import type { OutlierDetector } from './outlier-detector.js';
 import type { WorkerStateChange } from './worker-candidate.js';
 
@@ -12,7 +12,7 @@
   | {
       readonly kind: 'send';
       readonly to: NodeIdentity;
-      readonly message: WorkerViewMessage;
+      readonly message: WorkerLoadMessage;
     }
   | { readonly kind: 'poll'; readonly worker: WorkerRecord }
   | { readonly kind: 'state-change'; readonly change: WorkerStateChange };
--- a/src/routing/worker-directory.ts
+++ b/src/routing/worker-directory.ts
@@ -18,7 +18,7 @@
 import { HomeLoads } from './home-loads.js';
 import type { LoadPush } from './load-publisher.js';
 import { LoadSubscriptions } from './load-subscriptions.js';
-import type { WorkerLoad, WorkerViewMessage } from './messages.js';
+import type { WorkerLoad, WorkerLoadMessage } from './messages.js';
 import { OutlierDetector } from './outlier-detector.js';
 import type {
   CallOutcome,
@@ -29,7 +29,7 @@
 import type { WorkerDirectoryEffect, WorkerDirectoryOptions } from './worker-directory-types.js';
 import { WorkerEntries } from './worker-entries.js';
 import type { WorkerEntry } from './worker-entry.js';
-import { type WantedModel, WorkerTopology } from './worker-topology.js';
+import { type RoutedModel, WorkerTopology } from './worker-topology.js';
 
 const DEFAULT_POLL_INTERVAL: Milliseconds = 500;
 
@@ -102,17 +102,17 @@
   }
 
   /** Sets the models this node routes for; call `updateNodes` afterwards for new zones. */
-  updateWanted(
-    models: readonly WantedModel[],
+  updateRoutedModels(
+    models: readonly RoutedModel[],
     now: Milliseconds,
   ): readonly WorkerDirectoryEffect[] {
-    return this.#topology.updateWanted(models) ? this.#rebuild(now) : [];
+    return this.#topology.updateRoutedModels(models) ? this.#rebuild(now) : [];
   }
 
   /** Handles a message from the directory of another node. */
   receive(
     from: NodeIdentity,
-    message: WorkerViewMessage,
+    message: WorkerLoadMessage,
     now: Milliseconds,
   ): readonly WorkerDirectoryEffect[] {
     if (message.kind === 'subscribe') {
@@ -131,13 +131,13 @@
   }
 
   /** Applies the report of an engine; ignored where this node is not the worker's home. */
-  workerReport(report: WorkerReport, now: Milliseconds): readonly WorkerDirectoryEffect[] {
+  recordReport(report: WorkerReport, now: Milliseconds): readonly WorkerDirectoryEffect[] {
     this.#homeLoads.recordReport(report, now);
     return this.#drainEffects();
   }
 
   /** Records a failed poll; ignored where this node is not the worker's home. */
-  workerUnreachable(worker: WorkerId, now: Milliseconds): readonly WorkerDirectoryEffect[] {
+  recordFailedPoll(worker: WorkerId, now: Milliseconds): readonly WorkerDirectoryEffect[] {
     this.#homeLoads.recordFailedPoll(worker, now);
     return this.#drainEffects();
   }
@@ -170,7 +170,7 @@
   }
 
   /** Counts a dispatch of this node until the home next reports the load of the worker. */
-  noteSent(worker: WorkerId, now: Milliseconds): void {
+  recordDispatch(worker: WorkerId, now: Milliseconds): void {
     this.#entries.get(worker)?.recordDispatch(now);
   }
 
--- a/src/routing/worker-topology.ts
+++ b/src/routing/worker-topology.ts
@@ -11,7 +11,7 @@
 import { ZoneHomes } from './zone-homes.js';
 
 /** A model that this node routes for, and the zones it may use. */
-export interface WantedModel {
+export interface RoutedModel {
   readonly model: ModelName;
   readonly zones: readonly ZoneName[];
   /** Samples in the steps that this node drives with the model; enlarges its subsets. @default 0 */
@@ -35,7 +35,7 @@
   readonly #homes = new Map<ZoneName, ZoneHomes>();
   #index: MachineIndex = machineIndexOf([]);
   #drains = new DrainIndex([]);
-  #routedModels: readonly WantedModel[] = [];
+  #routedModels: readonly RoutedModel[] = [];
 
   /** @param subsetSize maximum size of a subset; step drivers may have larger ones */
   constructor(self: NodeRecord, subsetSize: number) {
@@ -69,7 +69,7 @@
     return true;
   }
 
-  updateWanted(models: readonly WantedModel[]): boolean {
+  updateRoutedModels(models: readonly RoutedModel[]): boolean {
     if (routedModelsKey(models) === routedModelsKey(this.#routedModels)) return false;
     this.#routedModels = models;
     return true;
@@ -140,8 +140,8 @@
   }
 }
 
-function routedModelsKey(models: readonly WantedModel[]): string {
-  const textOf = ({ model, zones, samplesDriven }: WantedModel): string =>
+function routedModelsKey(models: readonly RoutedModel[]): string {
+  const textOf = ({ model, zones, samplesDriven }: RoutedModel): string =>
     [model, samplesDriven ?? 0, ...zones].join('\n');
   return models.map(textOf).join('\n\n');
 }
--- a/src/shared-store/prefix-watcher.ts
+++ b/src/shared-store/prefix-watcher.ts
@@ -21,7 +21,7 @@
   /** Upper limit of the pause after a failed call. @default 1,000 ms */
   readonly maxRetryPause?: Milliseconds;
   /** Time after which a list that followed a loss is repeated. @default 1,000 ms */
-  readonly confirmationDelay?: Milliseconds;
+  readonly relistDelay?: Milliseconds;
 }
 
 const DEFAULTS = {
@@ -29,7 +29,7 @@
   coalesce: 100,
   retryPause: 250,
   maxRetryPause: 1_000,
-  confirmationDelay: 1_000,
+  relistDelay: 1_000,
 } as const;
 
 /** Randomized share of a pause, so that nodes do not retry simultaneously. */
@@ -100,7 +100,7 @@
     if (outcome.kind === 'failed') return this.recordFailure();
     this.recordAnswer();
     this.isListed = true;
-    this.relistAt = this.hadLoss ? performance.now() + this.options.confirmationDelay : undefined;
+    this.relistAt = this.hadLoss ? performance.now() + this.options.relistDelay : undefined;
     this.hadLoss = false;
     this.revision = outcome.revision;
     const changes = this.differences(outcome.items, outcome.revision);
--- a/test/dispatch/generation-runner.test.ts
+++ b/test/dispatch/generation-runner.test.ts
@@ -7,7 +7,7 @@
   type WorkerChoice,
 } from '../../src/dispatch/generation-runner.js';
 import type { DispatchMessage, DispatchOutcome } from '../../src/dispatch/messages.js';
-import { failure, ranStateOf } from '../../src/errors/error-kinds.js';
+import { executionStateOf, failure } from '../../src/errors/error-kinds.js';
 
 const HOME = { node: 'home', incarnation: 1 };
 const NOT_RUN: DispatchOutcome = {
@@ -84,7 +84,7 @@
   const { ends } = runWith(true, [MAY_HAVE_RUN, NOT_RUN, NOT_RUN, NOT_RUN]);
   const [end] = ends;
   t.equal(end?.kind, 'failed');
-  if (end?.kind === 'failed') t.equal(ranStateOf(end.failure), 'unknown');
+  if (end?.kind === 'failed') t.equal(executionStateOf(end.failure), 'unknown');
 });
 
 t.test('without budget there is no retry', async (t) => {
--- a/test/errors/error-kinds.test.ts
+++ b/test/errors/error-kinds.test.ts
@@ -1,5 +1,10 @@
 import t from 'tap';
-import { ERROR_ANSWERS, ERROR_KINDS, failure, ranStateOf } from '../../src/errors/error-kinds.js';
+import {
+  ERROR_ANSWERS,
+  ERROR_KINDS,
+  executionStateOf,
+  failure,
+} from '../../src/errors/error-kinds.js';
 
 t.test('every error kind has a complete answer', async (t) => {
   for (const kind of ERROR_KINDS) {
@@ -18,6 +23,6 @@
 });
 
 t.test('the execution state of a failure overrides that of its kind', async (t) => {
-  t.equal(ranStateOf(failure('deadline_exceeded', 'x')), 'unknown');
-  t.equal(ranStateOf(failure('deadline_exceeded', 'x', { ran: 'no' })), 'no');
+  t.equal(executionStateOf(failure('deadline_exceeded', 'x')), 'unknown');
+  t.equal(executionStateOf(failure('deadline_exceeded', 'x', { ran: 'no' })), 'no');
 });
--- a/test/fleet/format-versions.test.ts
+++ b/test/fleet/format-versions.test.ts
@@ -1,7 +1,7 @@
 /** A format is written only once no node that cannot read it may be running. */
 import t from 'tap';
 import { SharedStoreEmulator } from '../../lab/emulator/shared-store-emulator.js';
-import { FIRST_FORMAT, OWN_FORMAT } from '../../src/core/format-version.js';
+import { CURRENT_FORMAT_VERSION, FIRST_FORMAT_VERSION } from '../../src/core/format-version.js';
 import { FleetRegistry } from '../../src/fleet/fleet-registry.js';
 import { FormatVersions } from '../../src/fleet/format-versions.js';
 import { PROCESS_CLOCK } from '../../src/serving/clock.js';
@@ -13,30 +13,30 @@
 
 t.test('no format counts as read before the fleet was listed', async (t) => {
   const formats = new FormatVersions();
-  formats.note('node-1', OWN_FORMAT);
-  t.notOk(formats.isReadByAll(OWN_FORMAT, 0));
+  formats.note('node-1', CURRENT_FORMAT_VERSION);
+  t.notOk(formats.isReadByAll(CURRENT_FORMAT_VERSION, 0));
   formats.noteListed();
-  t.ok(formats.isReadByAll(OWN_FORMAT, 0));
-  t.notOk(formats.isReadByAll(OWN_FORMAT + 1, 0));
+  t.ok(formats.isReadByAll(CURRENT_FORMAT_VERSION, 0));
+  t.notOk(formats.isReadByAll(CURRENT_FORMAT_VERSION + 1, 0));
 });
 
 t.test('an older node counts as running for a while after its lease expired', async (t) => {
   const formats = new FormatVersions();
   formats.noteListed();
-  formats.note('node-1', FIRST_FORMAT);
+  formats.note('node-1', FIRST_FORMAT_VERSION);
   formats.noteExpired('node-1', 1_000);
-  t.notOk(formats.isReadByAll(OWN_FORMAT, 60_000));
-  t.ok(formats.isReadByAll(OWN_FORMAT, 62_000));
+  t.notOk(formats.isReadByAll(CURRENT_FORMAT_VERSION, 60_000));
+  t.ok(formats.isReadByAll(CURRENT_FORMAT_VERSION, 62_000));
 });
 
 t.test('a rollback withdraws a format and the next upgrade allows it again', async (t) => {
   const formats = new FormatVersions();
   formats.noteListed();
-  formats.note('node-1', OWN_FORMAT);
-  formats.note('node-1', FIRST_FORMAT);
-  t.notOk(formats.isReadByAll(OWN_FORMAT, 0));
-  formats.note('node-1', OWN_FORMAT);
-  t.ok(formats.isReadByAll(OWN_FORMAT, 0));
+  formats.note('node-1', CURRENT_FORMAT_VERSION);
+  formats.note('node-1', FIRST_FORMAT_VERSION);
+  t.notOk(formats.isReadByAll(CURRENT_FORMAT_VERSION, 0));
+  formats.note('node-1', CURRENT_FORMAT_VERSION);
+  t.ok(formats.isReadByAll(CURRENT_FORMAT_VERSION, 0));
 });
 
 t.test('a node reads the records of older nodes, and they read its own', async (t) => {
@@ -58,8 +58,8 @@
   await fleet.start();
   await eventually(() => fleet.liveNodes().length === 2);
   t.equal(fleet.capacityOf('node-1'), 0.5);
-  t.ok(fleet.isReadByAll(FIRST_FORMAT));
-  t.notOk(fleet.isReadByAll(OWN_FORMAT));
+  t.ok(fleet.isReadByAll(FIRST_FORMAT_VERSION));
+  t.notOk(fleet.isReadByAll(CURRENT_FORMAT_VERSION));
 
   const own = await store.get(`fleet/node/${OTHER.node}`);
   const text = own.kind === 'item' ? (own.item?.value ?? '') : '';
@@ -67,7 +67,7 @@
   const asOlderNode = FORMAT_1.node.safeParse(JSON.parse(text)).data;
   t.same(asOlderNode, { incarnation, address, zone: 'zone-1', capacity: 1 });
 
-  const later = { format: OWN_FORMAT };
+  const later = { format: CURRENT_FORMAT_VERSION };
   await store.commit({
     expected: [],
     put: put.map(({ key, value }) => ({
@@ -75,5 +75,5 @@
       value: JSON.stringify({ ...JSON.parse(value), ...later }),
     })),
   });
-  await eventually(() => fleet.isReadByAll(OWN_FORMAT));
+  await eventually(() => fleet.isReadByAll(CURRENT_FORMAT_VERSION));
 });
--- a/test/fleet/query-of-death.test.ts
+++ b/test/fleet/query-of-death.test.ts
@@ -7,7 +7,7 @@
 import { CrashingWorkers, DISCONNECTING, LETHAL } from '../../lab/emulator/crashing-workers.js';
 import { type JoinedGateway, JoinedGateways } from '../../lab/emulator/joined-gateways.js';
 import type { Milliseconds } from '../../src/core/units.js';
-import { ranStateOf } from '../../src/errors/error-kinds.js';
+import { executionStateOf } from '../../src/errors/error-kinds.js';
 import { eventually } from './fleet-fixtures.js';
 
 /** Workers that one request may crash. */
@@ -111,7 +111,7 @@
   const { failure } = await all.fleet.ask(gatewayAt(all.fleet, 3), CRASHING_PATH, LETHAL);
   t.ok(performance.now() - startedAt < 50);
   t.equal(failure?.kind, 'request_quarantined');
-  t.equal(failure === undefined ? undefined : ranStateOf(failure), 'no');
+  t.equal(failure === undefined ? undefined : executionStateOf(failure), 'no');
   t.ok((failure?.retryAfter ?? 0) > 590_000);
 });
 
--- a/test/fleet/suspended-node.test.ts
+++ b/test/fleet/suspended-node.test.ts
@@ -100,7 +100,7 @@
   t.same(granter.answer([permitRequest]), NOT_GRANTER, 'at once');
   store.lapseLeases();
   store.setAvailability('up');
-  const before = granter.observe();
+  const before = granter.refreshState();
   await eventually(() => lock.fencingToken() !== undefined);
   t.equal(before, 'none');
   t.equal(granter.answer([permitRequest]).grants[0]?.permits, 0, 'a new term waits');
--- a/test/fleet/weight-rollout.test.ts
+++ b/test/fleet/weight-rollout.test.ts
@@ -109,7 +109,7 @@
     namedVersions: new Map(),
     isConfigured: () => true,
     noteChange: () => {},
-    mode: () => 'keep',
+    orderMode: () => 'keep',
     log: recordingLog().log,
     metrics: new FleetMetrics(),
   });
@@ -159,7 +159,7 @@
     namedVersions: new Map([['model-a', { version: 5, namedAt: 0 }]]),
     isConfigured: (service) => service === 'service',
     noteChange: (change) => void changes.push(change),
-    mode: () => 'keep',
+    orderMode: () => 'keep',
     log: recordingLog().log,
     metrics: new FleetMetrics(),
   });
--- a/test/jobs/owned-job.test.ts
+++ b/test/jobs/owned-job.test.ts
@@ -50,7 +50,7 @@
 async function advance({ job, clock }: Fixture): Promise<void> {
   clock.time += 2_000;
   const done = new Promise<void>((resolve) => job.changed.subscribe(() => resolve()));
-  job.advance();
+  job.listOrVerify();
   await done;
 }
 
@@ -132,7 +132,7 @@
   }
   for (let round = 0; round < 40 && fixture.job.isOpen; round += 1) {
     fixture.clock.time += 2_000;
-    fixture.job.advance();
+    fixture.job.listOrVerify();
     await new Promise((resolve) => setTimeout(resolve, 2));
   }
   t.equal(fixture.job.results.length, 300);
--- a/test/placement/cold-workers.test.ts
+++ b/test/placement/cold-workers.test.ts
@@ -21,7 +21,7 @@
   const [granter] = gateways;
   if (granter === undefined) throw new Error('the fleet has no gateway');
   granter.token = 7;
-  granter.granter.observe();
+  granter.granter.refreshState();
   for (const { clock, warmth } of gateways) {
     warmth.noteListed();
     clock.time += GRANTER_WAIT;
--- a/test/placement/zone-return.ts
+++ b/test/placement/zone-return.ts
@@ -116,7 +116,7 @@
   private startGateways(): void {
     for (const [index, gateway] of this.gateways.entries()) {
       if (index === GRANTER) gateway.token = 1;
-      gateway.granter.observe();
+      gateway.granter.refreshState();
       gateway.warmth.noteListed();
       for (const { record, downUntil } of this.workers) {
         if (downUntil === 0) gateway.warmth.noteRecord(record);
@@ -174,7 +174,7 @@
     const successor = this.gateways[GRANTER + 1];
     if (this.now === NEXT_GRANTER_AT && successor !== undefined) successor.token = 2;
     for (const [index, gateway] of this.gateways.entries()) {
-      if (this.isUp(index)) gateway.granter.observe();
+      if (this.isUp(index)) gateway.granter.refreshState();
     }
   }
 
--- a/test/requests/claimed-request.test.ts
+++ b/test/requests/claimed-request.test.ts
@@ -9,7 +9,7 @@
   GenerationOutcome,
   GenerationRunner,
 } from '../../src/dispatch/generation-runner.js';
-import { type Failure, failure, ranStateOf } from '../../src/errors/error-kinds.js';
+import { executionStateOf, type Failure, failure } from '../../src/errors/error-kinds.js';
 import type { LedgerChange, LedgerOutcome } from '../../src/ledger/ledger.js';
 import { ALL_MECHANISMS } from '../../src/node/mechanisms.js';
 import { type ClaimedOutcome, ClaimedRequest } from '../../src/requests/claimed-request.js';
@@ -142,7 +142,7 @@
   const first = bench.call('bolt');
   const refused = failure('overloaded', 'full', { ran: 'no' });
   bench.end({ kind: 'failed', failure: refused, preempted: false, partial: null });
-  t.equal(ranStateOf(failureOf(first.outcomes)), 'no');
+  t.equal(executionStateOf(failureOf(first.outcomes)), 'no');
   bench.call('bolt', 'n2');
   t.equal(bench.running.length, 1, 'the repeat may run');
 });
@@ -152,7 +152,7 @@
   bench.call('bolt');
   const lost = failure('outcome_unknown', 'silent', { ran: 'unknown' });
   bench.end({ kind: 'failed', failure: lost, preempted: false, partial: null });
-  t.equal(ranStateOf(failureOf(bench.call('bolt', 'n2').outcomes)), 'unknown');
+  t.equal(executionStateOf(failureOf(bench.call('bolt', 'n2').outcomes)), 'unknown');
   t.equal(bench.running.length, 0);
 });
 
@@ -170,7 +170,7 @@
   const repeat = bench.call('bolt', 'n2');
   t.equal(bench.running.length, 1);
   repeat.request.expire();
-  t.equal(ranStateOf(failureOf(repeat.outcomes)), 'unknown');
+  t.equal(executionStateOf(failureOf(repeat.outcomes)), 'unknown');
   bench.alive = false;
   t.equal(failureOf(bench.call('bolt', 'n3').outcomes).kind, 'outcome_unknown');
 });
--- a/test/routing/home-admission.test.ts
+++ b/test/routing/home-admission.test.ts
@@ -1,7 +1,7 @@
 import fc from 'fast-check';
 import t from 'tap';
 import { MODEL, makeRequest, makeWorker } from '../../lab/bench/routing-fixtures.js';
-import { ranStateOf, retryAfterOf } from '../../src/errors/error-kinds.js';
+import { executionStateOf, retryAfterOf } from '../../src/errors/error-kinds.js';
 import { maxMinShares } from '../../src/routing/fair-share.js';
 import { HomeAdmission } from '../../src/routing/home-admission.js';
 
@@ -26,7 +26,7 @@
   const result = admission.admit(training('late'), 100);
   if (result.kind !== 'refused') return t.fail('not refused');
   t.equal(result.failure.kind, 'overloaded');
-  t.equal(ranStateOf(result.failure), 'no');
+  t.equal(executionStateOf(result.failure), 'no');
   t.equal(admission.stateOf('late'), 'absent', 'no state is stored for it');
   t.equal(admission.counts(worker).outstanding, 10);
   const before = retryAfterOf(result.failure) ?? 0;
--- a/test/routing/router.test.ts
+++ b/test/routing/router.test.ts
@@ -2,7 +2,7 @@
 import t from 'tap';
 import { makeCandidate, makeRequest } from '../../lab/bench/routing-fixtures.js';
 import { createRandomSource } from '../../src/core/random.js';
-import { ranStateOf, retryAfterOf } from '../../src/errors/error-kinds.js';
+import { executionStateOf, retryAfterOf } from '../../src/errors/error-kinds.js';
 import { Router, type RoutingContext } from '../../src/routing/router.js';
 import { createRoutingPolicies } from '../../src/routing/routing-policies.js';
 import { expectedOutstanding, type WorkerState } from '../../src/routing/worker-candidate.js';
@@ -66,7 +66,7 @@
         if (decision.kind === 'worker') return allowed.includes(decision.candidate);
         return (
           allowed.length === 0 &&
-          ranStateOf(decision.failure) === 'no' &&
+          executionStateOf(decision.failure) === 'no' &&
           (retryAfterOf(decision.failure) ?? 0) > 0
         );
       },
--- a/test/routing/worker-directory.test.ts
+++ b/test/routing/worker-directory.test.ts
@@ -134,7 +134,7 @@
   const subscriber = fleet.directory('zone-b-n1');
   const find = () =>
     subscriber.candidates(MODEL, ['zone-a']).find((one) => one.record.worker === 'zone-a-w1');
-  subscriber.noteSent('zone-a-w1', fleet.now);
+  subscriber.recordDispatch('zone-a-w1', fleet.now);
   t.equal(find()?.sentSinceUpdate, 1);
   fleet.run(500);
   t.match(find(), { ...counts, sentSinceUpdate: 0 });
--- a/test/routing/worker-topology.test.ts
+++ b/test/routing/worker-topology.test.ts
@@ -1,7 +1,7 @@
 import t from 'tap';
 import type { NodeRecord } from '../../src/core/identity.js';
 import type { MachineRecord } from '../../src/platform/worker.js';
-import { type WantedModel, WorkerTopology } from '../../src/routing/worker-topology.js';
+import { type RoutedModel, WorkerTopology } from '../../src/routing/worker-topology.js';
 
 const ZONES = ['a', 'b', 'c'];
 
@@ -18,12 +18,12 @@
 }) as unknown as readonly MachineRecord[];
 
 /** Number of workers followed in each zone. */
-function followedCounts(models: readonly WantedModel[]): readonly number[] {
+function followedCounts(models: readonly RoutedModel[]): readonly number[] {
   const self = NODES[0];
   if (self === undefined) throw new RangeError('no nodes');
   const topology = new WorkerTopology(self, 32);
   topology.updateMachines(MACHINES);
-  topology.updateWanted(models);
+  topology.updateRoutedModels(models);
   topology.updateNodes((zone) => NODES.filter((one) => one.zone === zone));
   return topology.subsets().map((subset) => subset.records.length);
 }
@@ -45,7 +45,7 @@
 
 t.test('a change of the driven samples changes the routed models', async (t) => {
   const topology = new WorkerTopology(node('a1', 'a'), 32);
-  t.ok(topology.updateWanted([{ model: 'm', zones: ZONES }]));
-  t.notOk(topology.updateWanted([{ model: 'm', zones: ZONES, samplesDriven: 0 }]));
-  t.ok(topology.updateWanted([{ model: 'm', zones: ZONES, samplesDriven: 512 }]));
+  t.ok(topology.updateRoutedModels([{ model: 'm', zones: ZONES }]));
+  t.notOk(topology.updateRoutedModels([{ model: 'm', zones: ZONES, samplesDriven: 0 }]));
+  t.ok(topology.updateRoutedModels([{ model: 'm', zones: ZONES, samplesDriven: 512 }]));
 });
--- a/test/shared-store/prefix-watcher.test.ts
+++ b/test/shared-store/prefix-watcher.test.ts
@@ -11,7 +11,7 @@
 }
 
 function follow(store: SharedStoreEmulator, wait = 60_000): Followed {
-  const pauses = { coalesce: 1, retryPause: 1, confirmationDelay: 60 };
+  const pauses = { coalesce: 1, retryPause: 1, relistDelay: 60 };
   const options = { store, prefix: 'a/', ...pauses, wait };
   const watcher = new PrefixWatcher(options);
   const seen: StoreChange[] = [];
--- a/test/weights/staleness-bound.test.ts
+++ b/test/weights/staleness-bound.test.ts
@@ -2,7 +2,7 @@
 import t from 'tap';
 import type { Configuration, Intent } from '../../src/config-feed/configuration.js';
 import type { GenerationResult, TokenSegment } from '../../src/core/generation.js';
-import { ranStateOf } from '../../src/errors/error-kinds.js';
+import { executionStateOf } from '../../src/errors/error-kinds.js';
 import {
   checkHandOver,
   checkSegment,
@@ -71,7 +71,7 @@
     t.ok(bounds.isErr);
     if (bounds.isOk) continue;
     t.equal(bounds.error.kind, kind);
-    t.equal(ranStateOf(bounds.error), 'no');
+    t.equal(executionStateOf(bounds.error), 'no');
   }
 });
 
