--- a/lab/emulator/joined-gateways.ts
+++ b/lab/emulator/joined-gateways.ts
@@ -110,7 +110,7 @@
   body = '';
   failure: Failure | undefined;
 
-  sendWhole(status: number, _headers: readonly string[], body: Buffer): void {
+  sendComplete(status: number, _headers: readonly string[], body: Buffer): void {
     this.status = status;
     this.body = body.toString();
   }
--- a/src/fleet/gateway-node.ts
+++ b/src/fleet/gateway-node.ts
@@ -204,7 +204,7 @@
     const sendOptions = { ...shared, quarantine };
     this.forwarder = new RequestForwarder({
       ...sendOptions,
-      noteBegun: (tenant, at) => this.coordination.singletonTasks?.meter?.noteBegun(tenant, at),
+      onRunStarted: (tenant, at) => this.coordination.singletonTasks?.meter?.noteBegun(tenant, at),
     });
     this.dispatcher = new ItemDispatcher({
       ...sendOptions,
@@ -367,7 +367,7 @@
    * Sends the remaining usage counts and crash reports; called after the last request has ended.
    */
   async finish(): Promise<void> {
-    this.quarantine.settle();
+    this.quarantine.reportPending();
     await Promise.all([this.coordination.finish(), this.crashReports.flush()]);
   }
 
--- a/src/peers/peer-client.ts
+++ b/src/peers/peer-client.ts
@@ -2,7 +2,7 @@
 import http from 'node:http';
 import { parse, stringify } from 'devalue';
 import type { Milliseconds } from '../core/units.js';
-import { readWhole } from '../serving/read-chunks.js';
+import { readAll } from '../serving/read-chunks.js';
 import { KeepAliveAgent } from './keep-alive-agent.js';
 import type {
   PeerAnswers,
@@ -77,7 +77,7 @@
   kind: Kind,
   response: http.IncomingMessage,
 ): Promise<PeerOutcome<Kind>> {
-  const body = await readWhole(response);
+  const body = await readAll(response);
   if (body === undefined) return { kind: 'silent' };
   if (isUnsupported(response.statusCode)) return { kind: 'unsupported' };
   if (response.statusCode !== PEER_STATUS.answered) return { kind: 'silent' };
--- a/src/peers/peer-server.ts
+++ b/src/peers/peer-server.ts
@@ -2,7 +2,7 @@
 import http from 'node:http';
 import { parse, stringify } from 'devalue';
 import * as z from 'zod';
-import { readWhole } from '../serving/read-chunks.js';
+import { readAll } from '../serving/read-chunks.js';
 import type { PeerHandler, PeerRequest } from './peer-messages.js';
 import { PEER_PATH, PEER_STATUS, withRequestDefaults } from './peer-protocol.js';
 
@@ -80,7 +80,7 @@
 
 /** Reads a request; returns the error status if it is too large or malformed. */
 async function readPeerRequest(request: http.IncomingMessage): Promise<PeerRequest | number> {
-  const body = await readWhole(request, MAX_REQUEST_BYTES);
+  const body = await readAll(request, MAX_REQUEST_BYTES);
   if (body === undefined) return PEER_STATUS.tooLong;
   try {
     const value: unknown = parse(body.toString('utf8'));
--- a/src/placement/job-residency.ts
+++ b/src/placement/job-residency.ts
@@ -66,7 +66,7 @@
     const routes = this.options.routes();
     if (routes === undefined || !routes.limitsRegions) return undefined;
     const acceptanceRegion = this.onlyRegionOf(zone);
-    const tenantRecord = tenant === undefined ? undefined : routes.tenants.named(tenant);
+    const tenantRecord = tenant === undefined ? undefined : routes.tenants.get(tenant);
     const byRoutes = (requests ?? [undefined]).map((request) => {
       const route = request && routes.match(request.host, request.path);
       return route === undefined ? acceptanceRegion : route.allowedRegions;
--- a/src/serving/answer-sink.ts
+++ b/src/serving/answer-sink.ts
@@ -6,7 +6,7 @@
 /** Receives the answer to one request. */
 export interface AnswerSink {
   /** Sends a complete answer of a worker. */
-  sendWhole(status: number, headers: HeaderList, body: Buffer): void;
+  sendComplete(status: number, headers: HeaderList, body: Buffer): void;
   /** Sends the head of an answer whose body follows in chunks. */
   begin(status: number, headers: HeaderList): void;
   /** Sends a chunk of the body; resolves once the connection accepts more. */
--- a/src/serving/attempt.ts
+++ b/src/serving/attempt.ts
@@ -1,7 +1,7 @@
 /** Outcomes of attempts at workers. */
 import type { Milliseconds } from '../core/units.js';
 import type { EngineAnswer, EngineOutcome } from './engine-port.js';
-import { readWhole } from './read-chunks.js';
+import { readAll } from './read-chunks.js';
 import type { KnownWorker } from './worker-registry.js';
 
 /** The lowest HTTP status of a worker's own failure. */
@@ -33,7 +33,7 @@
 
 /** Reads a whole body; `undefined` where the connection broke. */
 export async function readAnswerBody(answer: EngineAnswer): Promise<Buffer | undefined> {
-  const body = await readWhole(answer.body);
+  const body = await readAll(answer.body);
   if (body === undefined) answer.discard();
   return body;
 }
--- a/src/serving/forwarded-exchange.ts
+++ b/src/serving/forwarded-exchange.ts
@@ -151,7 +151,7 @@
   private deliver(result: AttemptResult): void {
     if (result.outcome.kind !== 'answered' || result.body === undefined) return;
     this.isAnswered = true;
-    this.sink.sendWhole(result.outcome.status, result.outcome.headers, result.body);
+    this.sink.sendComplete(result.outcome.status, result.outcome.headers, result.body);
     this.noteAnswered('request-answered', result.worker, result.outcome.status);
   }
 
@@ -202,7 +202,7 @@
       return this.giveUp(undefined);
     }
     this.sender.noteAnswered(answer.status);
-    this.sink.sendWhole(answer.status, answer.headers, body);
+    this.sink.sendComplete(answer.status, answer.headers, body);
     this.noteAnswered('request-answered', worker, answer.status);
   }
 
--- a/src/serving/forwarding-options.ts
+++ b/src/serving/forwarding-options.ts
@@ -8,5 +8,5 @@
   /** The active routes. @default those that were active when the request arrived */
   readonly routes?: () => RouteMatcher | undefined;
   /** Called once per request of a tenant, with the steady time at which a worker started it. */
-  readonly noteBegun?: (tenant: TenantName, steadyTime: Milliseconds) => void;
+  readonly onRunStarted?: (tenant: TenantName, steadyTime: Milliseconds) => void;
 }
--- a/src/serving/read-chunks.ts
+++ b/src/serving/read-chunks.ts
@@ -36,7 +36,7 @@
 }
 
 /** Reads a whole stream; `undefined` where it broke or has more than `limit` bytes. */
-export async function readWhole(
+export async function readAll(
   stream: Readable,
   limit = Number.POSITIVE_INFINITY,
 ): Promise<Buffer | undefined> {
--- a/src/serving/request-quarantine.ts
+++ b/src/serving/request-quarantine.ts
@@ -124,7 +124,7 @@
     if (incarnations === undefined) this.unreported.set(fingerprint, new Set([incarnation]));
     else incarnations.add(incarnation);
     this.pendingReports.set(fingerprint, next);
-    this.reportTimer ??= setTimeout(() => this.settle(), REPORT_DELAY);
+    this.reportTimer ??= setTimeout(() => this.reportPending(), REPORT_DELAY);
   }
 
   /**
@@ -214,7 +214,7 @@
   }
 
   /** Reports crashes under unanswered requests now, after the delay or before the node stops. */
-  settle(): void {
+  reportPending(): void {
     clearTimeout(this.reportTimer);
     this.reportTimer = undefined;
     const requestsByWorker = new Map<WorkerIncarnation, RequestFingerprint[]>();
--- a/src/serving/route-matcher.ts
+++ b/src/serving/route-matcher.ts
@@ -76,7 +76,7 @@
    * Regions in which a tenant's requests on a route may be served and stored; both limits apply.
    */
   allowedRegions(route: Route, tenant: TenantName | undefined): AllowedRegions {
-    const tenantRecord = tenant === undefined ? undefined : this.tenants.named(tenant);
+    const tenantRecord = tenant === undefined ? undefined : this.tenants.get(tenant);
     return allowedByBoth(route.allowedRegions, tenantRecord?.allowedRegions);
   }
 
--- a/src/serving/worker-sender.ts
+++ b/src/serving/worker-sender.ts
@@ -54,7 +54,7 @@
     const callerTenant = caller.kind === 'tenant' ? caller.tenant : undefined;
     const activeRoutes = routes?.();
     const tenantRecord =
-      callerTenant && (activeRoutes?.tenants.named(callerTenant.name) ?? callerTenant);
+      callerTenant && (activeRoutes?.tenants.get(callerTenant.name) ?? callerTenant);
     const { allowedRegions } = activeRoutes?.match(host, path) ?? route;
     return allowedByBoth(allowedRegions, tenantRecord?.allowedRegions);
   }
@@ -173,7 +173,7 @@
     sentAt: Milliseconds,
     tenant: TenantName | undefined,
   ): void {
-    const { noteBegun, clock } = this.options;
+    const { onRunStarted: noteBegun, clock } = this.options;
     const hasRun = outcome.kind === 'answered' || (outcome.kind === 'failed' && outcome.mayHaveRun);
     if (this.hasBegun || !hasRun || tenant === undefined) return;
     this.hasBegun = true;
--- a/src/tenants/tenant-directory.ts
+++ b/src/tenants/tenant-directory.ts
@@ -20,7 +20,7 @@
   }
 
   /** The tenant of this name; `undefined` where the configuration no longer has it. */
-  named(name: TenantName): Tenant | undefined {
+  get(name: TenantName): Tenant | undefined {
     return this.byName.get(name);
   }
 
--- a/test/serving/read-chunks.test.ts
+++ b/test/serving/read-chunks.test.ts
@@ -1,15 +1,15 @@
 import { PassThrough, Readable } from 'node:stream';
 import t from 'tap';
-import { readChunks, readWhole } from '../../src/serving/read-chunks.js';
+import { readAll, readChunks } from '../../src/serving/read-chunks.js';
 
 t.test('a stream that ends is returned complete', async (t) => {
-  const body = await readWhole(Readable.from([Buffer.from('one '), Buffer.from('two')]));
+  const body = await readAll(Readable.from([Buffer.from('one '), Buffer.from('two')]));
   t.equal(body?.toString(), 'one two');
 });
 
 t.test('a stream that breaks, or closes before its end, is reported as broken', async (t) => {
   const broken = new PassThrough();
-  const read = readWhole(broken);
+  const read = readAll(broken);
   broken.write('half');
   broken.destroy(new Error('connection reset'));
   t.equal(await read, undefined);
@@ -36,5 +36,5 @@
 });
 
 t.test('a stream above the limit is not returned', async (t) => {
-  t.equal(await readWhole(Readable.from([Buffer.alloc(6), Buffer.alloc(6)]), 10), undefined);
+  t.equal(await readAll(Readable.from([Buffer.alloc(6), Buffer.alloc(6)]), 10), undefined);
 });
--- a/test/serving/regional-requests.test.ts
+++ b/test/serving/regional-requests.test.ts
@@ -51,7 +51,7 @@
   const forwarder = new RequestForwarder({
     ...{ engine, registry, log, zone: 'north-1', versionField: VERSION_FIELD },
     ...{ quarantine: quarantine(), clock: PROCESS_CLOCK, metrics: new FleetMetrics() },
-    noteBegun: () => {},
+    onRunStarted: () => {},
   });
   const tenant: Tenant = {
     ...{ name: 'owner', keyDigests: [], priority: undefined },
--- a/test/serving/request-forwarder.test.ts
+++ b/test/serving/request-forwarder.test.ts
@@ -43,7 +43,7 @@
   for (const id of ['w1', 'w2', 'w3']) registry.put(worker(id));
   const started: string[] = [];
   const forwarder = new RequestForwarder({
-    noteBegun: (tenant) => started.push(tenant),
+    onRunStarted: (tenant) => started.push(tenant),
     engine,
     versionField: VERSION_FIELD,
     registry,
--- a/test/serving/serving-fixtures.ts
+++ b/test/serving/serving-fixtures.ts
@@ -210,7 +210,7 @@
   failure: Failure | undefined;
   ending: 'open' | 'complete' | 'broken' = 'open';
 
-  sendWhole(status: number, headers: HeaderList, body: Buffer): void {
+  sendComplete(status: number, headers: HeaderList, body: Buffer): void {
     this.begin(status, headers);
     this.body = body.toString();
     this.ending = 'complete';
