--- a/src/serving/worker-sender.ts
+++ b/src/serving/worker-sender.ts
@@ -126,7 +126,7 @@
     }
     if (outcome.kind !== 'failed') worker.noteLoad(outcome.load, clock.now());
     if (outcome.kind === 'failed' && outcome.mayHaveRun) this.mayHaveRun = true;
-    this.noteBegun(outcome, sentAt, tenant);
+    this.reportRunStarted(outcome, sentAt, tenant);
     return outcome;
   }
 
@@ -168,16 +168,16 @@
    * Reports the start of the request once: at the first event of a stream, else at the time of
    * sending, since workers start such requests on arrival.
    */
-  private noteBegun(
+  private reportRunStarted(
     outcome: EngineOutcome,
     sentAt: Milliseconds,
     tenant: TenantName | undefined,
   ): void {
-    const { onRunStarted: noteBegun, clock } = this.options;
+    const { onRunStarted, clock } = this.options;
     const hasRun = outcome.kind === 'answered' || (outcome.kind === 'failed' && outcome.mayHaveRun);
     if (this.hasBegun || !hasRun || tenant === undefined) return;
     this.hasBegun = true;
     const isStream = outcome.kind === 'answered' && outcome.isStream;
-    noteBegun?.(tenant, isStream ? clock.now() : sentAt);
+    onRunStarted?.(tenant, isStream ? clock.now() : sentAt);
   }
 }
