--- a/test/requests/claimed-request.test.ts
+++ b/test/requests/claimed-request.test.ts
@@ -86,7 +86,7 @@
       mechanisms: ALL_MECHANISMS,
       now: () => 0,
       isAlive: () => this.alive,
-      later: (_delay: number, callback: () => void) => this.later.push(callback),
+      schedule: (_delay: number, callback: () => void) => this.later.push(callback),
       ledger: {
         change: (_address: unknown, apply: never, _deadline: number, done: LedgerCallback) =>
           this.change(apply, done),
--- a/test/rollouts/result-keeper.test.ts
+++ b/test/rollouts/result-keeper.test.ts
@@ -34,7 +34,7 @@
     };
     const ports = {
       ledger: { storeBody, removeBodies },
-      explain: () => undefined,
+      recordDecision: () => undefined,
       now: () => this.now,
     } as unknown as NodePorts;
     this.acknowledged = new AcknowledgedBodies(ports, 'step/s', RECORD);
--- a/test/rollouts/step-supervisor.test.ts
+++ b/test/rollouts/step-supervisor.test.ts
@@ -36,9 +36,9 @@
     isStopping: () => false,
     isConfirmed: () => true,
     isAlive: (identity: NodeIdentity) => !dead.includes(identity.node),
-    later: nothing,
+    schedule: nothing,
     send: nothing,
-    explain: nothing,
+    recordDecision: nothing,
     stateChange: nothing,
     ledger: {
       read: nothing,
