--- a/src/cli/intent-confirm-command.ts
+++ b/src/cli/intent-confirm-command.ts
@@ -1,4 +1,4 @@
-/** `wardwing intent confirm`: applies a plan; with `--wait`, until it is active in all zones. */
+/** `wardwing intent confirm`: applies a plan; `--wait` waits until it is active in all zones. */
 import { ACCEPTED_DURATIONS, parseDuration } from '../settings/duration.js';
 import { waitUntilActive } from './activation-report.js';
 import { CLIENT_FLAGS, clientOf, printDocument, reportFailure } from './client-command.js';
@@ -29,10 +29,10 @@
     'intent confirm 3f2a90c41b7d5e68 --wait --wait-timeout 1m --endpoint 127.0.0.1:7400',
   ],
   async run(input) {
-    const text = flagText(input.flags, 'wait-timeout') ?? DEFAULT_WAIT_TIMEOUT;
-    const timeout = parseDuration(text);
+    const waitTimeoutText = flagText(input.flags, 'wait-timeout') ?? DEFAULT_WAIT_TIMEOUT;
+    const timeout = parseDuration(waitTimeoutText);
     if (timeout.isNothing) {
-      const reason = `"${text}" is not a duration`;
+      const reason = `"${waitTimeoutText}" is not a duration`;
       const problem = { key: '--wait-timeout', reason, accepted: ACCEPTED_DURATIONS };
       return reportProblems(input.terminal, [problem]);
     }
--- a/src/jobs/item-scorer.ts
+++ b/src/jobs/item-scorer.ts
@@ -29,7 +29,6 @@
 /** Concurrent calls for one item. */
 const MAX_CONCURRENT_CALLS = 2;
 
-/** Retry delays after a rejection and after a failure. */
 const REJECTION_RETRY_DELAY: Milliseconds = 60;
 const FAILURE_RETRY_DELAY: Milliseconds = 30;
 
--- a/src/jobs/item-work-cache.ts
+++ b/src/jobs/item-work-cache.ts
@@ -31,14 +31,14 @@
 /** Maximum number of cached items; the oldest are evicted first. */
 const MAX_ITEMS = 4_000;
 
-interface Entry extends DigestedWork {
+interface CachedWork extends DigestedWork {
   readonly cachedAt: Milliseconds;
   /** Determines the regions that may store the work. */
   readonly origin: JobOrigin;
 }
 
 export class ItemWorkCache {
-  private readonly entries = new Map<string, Entry>();
+  private readonly entries = new Map<string, CachedWork>();
 
   constructor(private readonly clock: Clock) {}
 
--- a/src/jobs/job-admission.ts
+++ b/src/jobs/job-admission.ts
@@ -27,11 +27,11 @@
   /** Has a job accepted; `undefined` means that the job is durably stored. */
   async submit(spec: JobSpecification, isStillNeeded: StillNeeded): Promise<Failure | undefined> {
     const { peers, submissions } = this.options;
-    const path = await peers.submitElsewhere(spec);
-    if (path.kind === 'answered') return path.failure;
-    if (path.kind === 'nowhere') return this.reject(spec, path.failure);
+    const forwarding = await peers.submitElsewhere(spec);
+    if (forwarding.kind === 'answered') return forwarding.failure;
+    if (forwarding.kind === 'nowhere') return this.reject(spec, forwarding.failure);
     const rejection = await submissions.submit(spec, isStillNeeded);
-    if (rejection === undefined || !path.mayRunElsewhere) return rejection;
+    if (rejection === undefined || !forwarding.mayRunElsewhere) return rejection;
     return failure('outcome_unknown', 'another node may have stored the job');
   }
 
--- a/src/jobs/job-listing.ts
+++ b/src/jobs/job-listing.ts
@@ -28,8 +28,13 @@
 const WAIT_POLL_INTERVAL: Milliseconds = 50;
 
 /**
- * Why this node no longer runs a job. `ended`: it was cancelled. `ended-elsewhere`: another node
- * cancelled it because this one could not reach the store; others may have listed more results.
+ * Why this node no longer runs a job:
+ * - `finished`: all results are listed.
+ * - `ended`: the job was cancelled.
+ * - `ended-elsewhere`: another node cancelled the job because this node could not reach the store;
+ *   this node's list may lack results that others have listed.
+ * - `superseded`: another node owns the job.
+ * - `released`: this node gave up its ownership.
  */
 export type CloseReason = 'finished' | 'ended' | 'ended-elsewhere' | 'superseded' | 'released';
 
--- a/src/jobs/job-reader.ts
+++ b/src/jobs/job-reader.ts
@@ -126,9 +126,9 @@
   private async isStoreComplete(job: string): Promise<boolean> {
     const { journals } = this;
     if (journals === undefined) return true;
-    const read = await this.store.head(job);
-    if (read.kind !== 'found') return false;
-    const { head } = read.value;
+    const storedHead = await this.store.head(job);
+    if (storedHead.kind !== 'found') return false;
+    const { head } = storedHead.value;
     // A job cancelled in the store may have results that only its partitioned zone has listed.
     if (head.replicas === undefined || head.listed >= head.total) return true;
     return (await journals.entryStatus(job, head.replicas)) === 'not-held';
--- a/src/jobs/job-service.ts
+++ b/src/jobs/job-service.ts
@@ -212,13 +212,13 @@
         return bodyOrAbsent(reported.body);
       }
     }
-    const read =
+    const specification =
       ownedJob === undefined
         ? await this.options.reader.specification(job)
         : ({ kind: 'found', value: ownedJob.spec } as const);
-    if (read.kind === 'absent') return NO_SUCH_JOB;
-    if (read.kind === 'unavailable') return storeUnavailable();
-    const { tenant, items } = read.value;
+    if (specification.kind === 'absent') return NO_SUCH_JOB;
+    if (specification.kind === 'unavailable') return storeUnavailable();
+    const { tenant, items } = specification.value;
     if (!mayAccess(caller, tenant)) return this.deny(job, tenant, caller);
     return bodyOrAbsent(items.find((entry) => entry.id === item)?.body);
   }
--- a/src/jobs/job-transfer.ts
+++ b/src/jobs/job-transfer.ts
@@ -133,9 +133,9 @@
 
   /** Releases all open jobs and offers them to other nodes. */
   async release(isStillNeeded: StillNeeded): Promise<void> {
-    const open = this.options.owned.all().filter((job) => job.isOpen);
+    const openJobs = this.options.owned.all().filter((job) => job.isOpen);
     await Promise.all(
-      open.map(async (job) => {
+      openJobs.map(async (job) => {
         await job.release(isStillNeeded);
         const allowed = this.options.residency.regionsForSpec(job.spec);
         if (job.closeReason === 'released')
--- a/src/placement/guarded-engine.ts
+++ b/src/placement/guarded-engine.ts
@@ -11,7 +11,7 @@
   readonly metrics: FleetMetrics;
 }
 
-/** Wraps an engine port; orders, reports and probes carry no caller's work and are not checked. */
+/** An engine port that sends a request only if the send rules admit it; other calls are unchecked. */
 export class GuardedEngine implements EnginePort {
   readonly order: EnginePort['order'];
   readonly report: EnginePort['report'];
--- a/src/placement/permit-granter.ts
+++ b/src/placement/permit-granter.ts
@@ -34,7 +34,10 @@
   readonly probe: (worker: WorkerRecord) => void;
 }
 
-/** `none`: not the coordinator; `waiting`: for permits of the predecessor; `open`: grants. */
+/**
+ * `none`: not the coordinator; `waiting`: until the permits of the previous granter have expired;
+ * `open`: grants permits.
+ */
 export type GranterState = 'none' | 'waiting' | 'open';
 
 export class PermitGranter {
--- a/src/routing/least-lagged-load-policy.ts
+++ b/src/routing/least-lagged-load-policy.ts
@@ -15,8 +15,8 @@
       for (let offset = 1; offset < eligibleCount; offset += 1) {
         const position = (start + offset) % eligibleCount;
         const candidate = candidateAt(candidates, eligible[position]);
-        const lower = candidate.reportedLoad * best.slots < best.reportedLoad * candidate.slots;
-        if (lower) best = candidate;
+        const isLower = candidate.reportedLoad * best.slots < best.reportedLoad * candidate.slots;
+        if (isLower) best = candidate;
       }
       return { candidate: best, reason: 'least-load' };
     },
--- a/src/routing/machine-index.ts
+++ b/src/routing/machine-index.ts
@@ -68,13 +68,13 @@
   return entries.map((entry) => entry.record);
 }
 
-const indexes = new WeakMap<readonly MachineRecord[], MachineIndex>();
+const indexByList = new WeakMap<readonly MachineRecord[], MachineIndex>();
 
 /** The index of a list, cached by the array object. */
 export function machineIndexOf(machines: readonly MachineRecord[]): MachineIndex {
-  const cached = indexes.get(machines);
+  const cached = indexByList.get(machines);
   if (cached !== undefined) return cached;
   const index = new MachineIndex(machines);
-  indexes.set(machines, index);
+  indexByList.set(machines, index);
   return index;
 }
--- a/src/routing/router.ts
+++ b/src/routing/router.ts
@@ -97,7 +97,7 @@
       eligibleFlags: this.#flags,
       now: context.now,
     });
-    if (pick === undefined) return this.#overloaded();
+    if (pick === undefined) return this.#refuseOverloaded();
     const isPickAllowed = isAllowed(pick.candidate, request.model, context.zones);
     if (!isPickAllowed) return this.#noWorker(counts);
     return { kind: 'worker', candidate: pick.candidate, reason: pick.reason };
@@ -135,7 +135,7 @@
   #refuse(counts: FilterCounts): RoutingDecision {
     if (counts.inService === 0) return this.#noWorker(counts);
     if (counts.fresh === 0) return this.#versionUnknown();
-    return this.#overloaded();
+    return this.#refuseOverloaded();
   }
 
   #noWorker(counts: FilterCounts): RoutingDecision {
@@ -149,7 +149,7 @@
     return this.#refusal('version_unknown', detail, VERSION_RETRY_DELAY);
   }
 
-  #overloaded(): RoutingDecision {
+  #refuseOverloaded(): RoutingDecision {
     const detail = 'every worker that may run this is full or was tried';
     return this.#refusal('overloaded', detail, OVERLOADED_RETRY_DELAY);
   }
--- a/src/routing/worker-topology.ts
+++ b/src/routing/worker-topology.ts
@@ -18,7 +18,7 @@
   readonly samplesDriven?: number;
 }
 
-/** Samples in flight for each followed worker; sizes the subsets of step drivers. */
+/** Samples driven per followed worker; determines how many workers a node follows in each zone. */
 const SAMPLES_PER_WORKER = 8;
 
 /** The followed workers of one model and zone. */
--- a/src/serving/engine-port.ts
+++ b/src/serving/engine-port.ts
@@ -97,7 +97,16 @@
   readonly expectedSequence: number;
 }
 
-/** Outcome of an order. */
+/**
+ * Answer of a worker to an order:
+ * - `started`: the worker carries out the order.
+ * - `holds`: the worker already has the version.
+ * - `conflict`: the worker is busy with an order, or its sequence is not the expected one.
+ * - `fenced`: the worker has seen a higher fencing token.
+ * - `gone`: another incarnation of the worker listens at the address.
+ * - `refused`: the order is invalid or was not sent.
+ * - `unknown`: the worker may carry out the order, now or later.
+ */
 export type OrderOutcome =
   | 'started'
   | 'holds'
@@ -105,7 +114,6 @@
   | 'fenced'
   | 'gone'
   | 'refused'
-  /** Whether the worker may carry out the order, now or later. */
   | 'unknown';
 
 /** A worker's own report of its state. */
--- a/src/serving/worker-sender.ts
+++ b/src/serving/worker-sender.ts
@@ -31,8 +31,7 @@
 
 /** The attempts of one request. */
 export class WorkerSender {
-  /** Send time by worker id. */
-  private readonly tried = new Map<string, Milliseconds>();
+  private readonly sentAtByWorker = new Map<string, Milliseconds>();
   private readonly aborts = new Set<AbortController>();
   private hasBegun = false;
   private inFlight = 0;
@@ -80,7 +79,7 @@
     const { route, registry, service, zone, clock, quarantine } = this.options;
     if (this.attempts >= route.maxAttempts) return undefined;
     if (!quarantine.admits(this.fingerprinted, this.inFlight)) return undefined;
-    return registry.pick(service, this.tried, zone, clock.now(), this.allowedRegions);
+    return registry.pick(service, this.sentAtByWorker, zone, clock.now(), this.allowedRegions);
   }
 
   /** Sends the request to a worker; never rejects. */
@@ -95,7 +94,7 @@
     this.inFlight += 1;
     worker.inFlight += 1;
     const sentAt = clock.now();
-    this.tried.set(worker.record.id, sentAt);
+    this.sentAtByWorker.set(worker.record.id, sentAt);
     const resumeAfter = lastEventId ?? request.lastEventId;
     const { caller } = request;
     const tenant = tenantNameOf(caller);
@@ -143,7 +142,7 @@
       asked: this.fingerprinted.fingerprint,
       route: route.name,
       worker: id,
-      atWorkerMs: Math.round(clock.now() - (this.tried.get(id) ?? clock.now())),
+      atWorkerMs: Math.round(clock.now() - (this.sentAtByWorker.get(id) ?? clock.now())),
       othersThere: worker.inFlight,
       elsewhere: this.inFlight,
     });
--- a/src/telemetry/decision-log.ts
+++ b/src/telemetry/decision-log.ts
@@ -33,14 +33,14 @@
   private readonly dropped = new Map<string, number>();
 
   constructor(private readonly options: DecisionLogOptions) {
-    const settings = {
+    const loggerOptions = {
       base: { node: options.node, zone: options.zone },
       timestamp: pino.stdTimeFunctions.isoTime,
     };
     const destination =
       options.destination ??
       pino.destination({ sync: false, maxLength: MAX_BUFFERED_BYTES, minLength: 0 });
-    this.logger = pino(settings, destination);
+    this.logger = pino(loggerOptions, destination);
     this.linesPerWindow = options.linesPerSecond ?? DEFAULT_LINES_PER_SECOND;
   }
 
--- a/test/cli/program.test.ts
+++ b/test/cli/program.test.ts
@@ -26,12 +26,12 @@
 
 const inFolder = (name: string) => path.join(folder, name);
 
-async function run(words: readonly string[], commands = COMMANDS) {
+async function run(args: readonly string[], commands = COMMANDS) {
   const lines: string[] = [];
   const errors: string[] = [];
   let pausedMs = 0;
   const code = await runProgram(
-    words,
+    args,
     {
       writeLine: (text) => lines.push(text),
       writeError: (text) => errors.push(text),
@@ -106,9 +106,9 @@
     [`intent propose ${inFolder('wrong-intent.toml')} --endpoint 127.0.0.1:1`, /zones: .*missing/],
     ['intent confirm p --wait --wait-timeout 5 --endpoint 127.0.0.1:1', /--wait-timeout/],
   ];
-  for (const [words, message] of calls) {
-    const result = await run(words.split(' ').filter((word) => word !== ''));
-    t.equal(result.code, 2, words);
+  for (const [commandLine, message] of calls) {
+    const result = await run(commandLine.split(' ').filter((arg) => arg !== ''));
+    t.equal(result.code, 2, commandLine);
     t.match(result.errors[0], message);
   }
 });
@@ -121,8 +121,8 @@
       return 0;
     },
   };
-  const words = ['node', '--settings', inFolder('node.toml'), '--name', '7'];
-  const result = await run(words, [nodeCommand(async () => program)]);
+  const args = ['node', '--settings', inFolder('node.toml'), '--name', '7'];
+  const result = await run(args, [nodeCommand(async () => program)]);
   t.equal(result.code, 0);
   t.equal(started?.node.name, '7');
 });
@@ -187,8 +187,8 @@
         statusRequests >= 2 ? zone(20) : { ...zone(statusRequests === 1 ? 20 : 19), answered: 1 };
       return [200, { zones: { abdali, marka: statusRequests >= 3 ? zone(21) : partitioned } }];
     });
-    const words = ['intent', 'confirm', 'p', '--wait', '--json', '--endpoint', server.endpoint];
-    const result = await run(words);
+    const args = ['intent', 'confirm', 'p', '--wait', '--json', '--endpoint', server.endpoint];
+    const result = await run(args);
     t.equal(result.code, 0);
     t.match(
       result.lines.slice(1).map((line) => JSON.parse(line)),
@@ -198,7 +198,7 @@
       ],
     );
     statusRequests = Number.NEGATIVE_INFINITY;
-    const late = await run([...words, '--wait-timeout', '2s']);
+    const late = await run([...args, '--wait-timeout', '2s']);
     t.equal(late.code, 4, 'not active in all zones');
     t.match(
       late.lines.slice(1).map((line) => JSON.parse(line)),
--- a/test/jobs/evacuated-zone.test.ts
+++ b/test/jobs/evacuated-zone.test.ts
@@ -1,4 +1,4 @@
-/** Dispatch of items and score requests while a worker zone is evacuated. */
+/** Guards against items and score requests being dispatched to a worker zone under evacuation. */
 import { Readable } from 'node:stream';
 import t from 'tap';
 import { NO_PEERS } from '../../lab/common/no-peers.js';
@@ -44,7 +44,8 @@
   };
 }
 
-const text = (letters: string): EngineOutcome => answer(events(0, letters), { isStream: true });
+const textAnswer = (letters: string): EngineOutcome =>
+  answer(events(0, letters), { isStream: true });
 
 /** A stream that sends its first events immediately and the rest after `resume`. */
 function heldStream(first: string, rest: string): { stream: EngineOutcome; resume: () => void } {
@@ -130,7 +131,11 @@
 );
 
 t.test('scores are requested outside an evacuated zone, also when hedged', async (t) => {
-  const scenario = startScenario([text('ab'), 'hang', answer('judged', { signature: 'good' })]);
+  const scenario = startScenario([
+    textAnswer('ab'),
+    'hang',
+    answer('judged', { signature: 'good' }),
+  ]);
   scenario.evacuations.begin('zone-1');
   await scenario.node.service.submit(scoredSpecification('job', 1), always);
   await workUntil(scenario.node, () => scenario.engine.requests.length === 2);
--- a/test/jobs/job-reader.test.ts
+++ b/test/jobs/job-reader.test.ts
@@ -1,6 +1,6 @@
 /**
- * A reader requests from the owner only results that it lacks, and the positions of results do not
- * change.
+ * Guards against a reader that requests results it already has, and against positions of results
+ * that change.
  */
 import t from 'tap';
 import { SharedStoreEmulator } from '../../lab/emulator/shared-store-emulator.js';
--- a/test/jobs/job-service.test.ts
+++ b/test/jobs/job-service.test.ts
@@ -15,12 +15,12 @@
 import { always, never, OTHER, OWNER, specification } from './job-fixtures.js';
 import { isFinished, jobNode, workUntil } from './job-node.js';
 
-const stream = (letters: string, first = 0): EngineOutcome =>
+const streamAnswer = (letters: string, first = 0): EngineOutcome =>
   answer(events(first, letters), { isStream: true });
 
 t.test('a job is run, listed and read by position, on its owner and on another node', async (t) => {
   const emulator = new SharedStoreEmulator();
-  const engine = new ScriptedEngine([stream('ab'), stream('cd')]);
+  const engine = new ScriptedEngine([streamAnswer('ab'), streamAnswer('cd')]);
   const node = jobNode(emulator, OWNER, engine);
   node.registry.put(worker('w1'));
   t.equal(await node.service.submit(specification('job', 2), always), undefined);
@@ -36,8 +36,8 @@
 });
 
 t.test('an item resumes where its stream broke, on another worker', async (t) => {
-  const first = brokenAnswer(`${events(0, 'ab')}id: 2\nda`, { isStream: true });
-  const engine = new ScriptedEngine([first, stream('cd', 2)]);
+  const brokenStream = brokenAnswer(`${events(0, 'ab')}id: 2\nda`, { isStream: true });
+  const engine = new ScriptedEngine([brokenStream, streamAnswer('cd', 2)]);
   const node = jobNode(new SharedStoreEmulator(), OWNER, engine);
   node.registry.put(worker('w1'));
   node.registry.put(worker('w2'));
@@ -57,7 +57,7 @@
 }
 
 t.test('an item whose stream stalls resumes on another worker', async (t) => {
-  const engine = new ScriptedEngine([stallingAnswer('ab'), stream('cd', 2)]);
+  const engine = new ScriptedEngine([stallingAnswer('ab'), streamAnswer('cd', 2)]);
   const node = jobNode(new SharedStoreEmulator(), OWNER, engine);
   node.registry.put(worker('w1'));
   node.registry.put(worker('w2'));
@@ -70,7 +70,7 @@
 });
 
 t.test('an item without any response is retried over a new connection', async (t) => {
-  const engine = new ScriptedEngine(['hang', stream('abcd')]);
+  const engine = new ScriptedEngine(['hang', streamAnswer('abcd')]);
   const node = jobNode(new SharedStoreEmulator(), OWNER, engine);
   node.registry.put(worker('w1'));
   node.registry.put(worker('w2'));
@@ -95,7 +95,7 @@
 });
 
 t.test('the last run of a job moves to a moderately faster worker, once', async (t) => {
-  const script = [stallingAnswer('ab'), stream('xy'), stream('cd', 2)];
+  const script = [stallingAnswer('ab'), streamAnswer('xy'), streamAnswer('cd', 2)];
   const engine = new ScriptedEngine(script);
   const node = jobNode(new SharedStoreEmulator(), OWNER, engine);
   node.registry.put(worker('slow'));
@@ -177,7 +177,7 @@
   'items start before an unresponsive store has accepted the job, and are listed afterwards',
   async (t) => {
     const emulator = new SharedStoreEmulator();
-    const engine = new ScriptedEngine([stream('a')]);
+    const engine = new ScriptedEngine([streamAnswer('a')]);
     const node = jobNode(emulator, OWNER, engine);
     node.registry.put(worker('w1'));
     emulator.setAvailability('silent');
@@ -234,7 +234,7 @@
     () => previousOwner.service.ownedJobs()[0]?.unfinishedProgress()['item-0'] !== undefined,
   );
   await previousOwner.service.release(always);
-  const engine = new ScriptedEngine([stream('cd', 2)]);
+  const engine = new ScriptedEngine([streamAnswer('cd', 2)]);
   const nextOwner = jobNode(emulator, OTHER, engine);
   nextOwner.registry.put(worker('w1'));
   t.ok(await nextOwner.service.takeReleased('job'));
--- a/test/jobs/journaled-jobs.test.ts
+++ b/test/jobs/journaled-jobs.test.ts
@@ -17,7 +17,7 @@
 
 const WRITER = `${OWNER.node}/${OWNER.incarnation}`;
 
-const stream = (letters: string, first = 0): EngineOutcome =>
+const streamAnswer = (letters: string, first = 0): EngineOutcome =>
   answer(events(first, letters), { isStream: true });
 
 interface ZoneWithStore {
@@ -81,7 +81,12 @@
 t.test(
   'a zone without the store continues a step, and accepts and cancels the next one',
   async (t) => {
-    const setup = await zoneWithStore(t, stream('ab'), stream('cd'), stream('ef'));
+    const setup = await zoneWithStore(
+      t,
+      streamAnswer('ab'),
+      streamAnswer('cd'),
+      streamAnswer('ef'),
+    );
     const { emulator, zone, node } = setup;
     t.equal(await node.service.submit(specification('job', 2), always), undefined);
     emulator.setAvailability('silent');
@@ -105,7 +110,7 @@
 );
 
 t.test('nodes in other zones do not take over a job from an unreachable zone', async (t) => {
-  const setup = await zoneWithStore(t, stream('ab'));
+  const setup = await zoneWithStore(t, streamAnswer('ab'));
   const { emulator, zone, node } = setup;
   await node.service.submit(specification('job', 2), always);
   emulator.setAvailability('silent');
@@ -121,7 +126,7 @@
 });
 
 t.test('a new owner continues the listing after the journaled results', async (t) => {
-  const setup = await zoneWithStore(t, stream('ab'), stream('cd'));
+  const setup = await zoneWithStore(t, streamAnswer('ab'), streamAnswer('cd'));
   const { emulator, node } = setup;
   await node.service.submit(specification('job', 3), always);
   const store = new JobStore(emulator, new ManualClock());
@@ -159,7 +164,7 @@
 const NEXT_STEP = { ...specification('next', 2), step: 1 };
 
 t.test('a job that only the journal has is recovered after its owner has terminated', async (t) => {
-  const setup = await zoneWithStore(t, stream('ab'), stream('cd'), stream('ef'));
+  const setup = await zoneWithStore(t, streamAnswer('ab'), streamAnswer('cd'), streamAnswer('ef'));
   const { emulator, node } = setup;
   t.equal(await node.service.submit(specification('job', 2), always), undefined);
   await untilListed(node, 2);
@@ -192,15 +197,15 @@
 t.test(
   'a job that another zone accepted by its journal is not created again in the store',
   async (t) => {
-    const setup = await zoneWithStore(t, stream('ab'), stream('cd'));
+    const setup = await zoneWithStore(t, streamAnswer('ab'), streamAnswer('cd'));
     const { emulator, node, zone } = setup;
     await node.service.submit(specification('job', 2), always);
     await untilListed(node, 2);
     // The store rejects only this node.
-    const commit = emulator.commit.bind(emulator);
+    const originalCommit = emulator.commit.bind(emulator);
     emulator.commit = async () => ({ kind: 'failed', effect: 'not-done' });
     t.equal(await node.service.submit(NEXT_STEP, always), undefined);
-    emulator.commit = commit;
+    emulator.commit = originalCommit;
     const reachableStore = new SharedStoreEmulator();
     const nodeInOtherZone = otherNode({ ...setup, emulator: reachableStore }, 'zone-2');
     t.equal((await nodeInOtherZone.service.submit(NEXT_STEP, always))?.kind, 'outcome_unknown');
@@ -215,14 +220,14 @@
  * the owner's zone is partitioned.
  */
 t.test('journaled results reach the store although another node cancelled the job', async (t) => {
-  const setup = await zoneWithStore(t, stream('ab'), stream('cd'));
+  const setup = await zoneWithStore(t, streamAnswer('ab'), streamAnswer('cd'));
   const { emulator, node, zone } = setup;
   await node.service.submit(specification('job', 3), always);
-  const commit = emulator.commit.bind(emulator);
+  const originalCommit = emulator.commit.bind(emulator);
   emulator.commit = async () => ({ kind: 'failed', effect: 'not-done' });
   await untilListed(node, 2);
   const listed = await textsAt(node);
-  emulator.commit = commit;
+  emulator.commit = originalCommit;
   const store = new JobStore(emulator, new ManualClock());
   const head = await store.head('job');
   if (head.kind !== 'found') throw new Error(head.kind);
@@ -235,7 +240,7 @@
 });
 
 t.test('journaled results of a terminated owner are stored by another node', async (t) => {
-  const setup = await zoneWithStore(t, stream('ab'), stream('cd'));
+  const setup = await zoneWithStore(t, streamAnswer('ab'), streamAnswer('cd'));
   const { emulator, node, zone } = setup;
   await node.service.submit(specification('job', 3), always);
   const before = await new JobStore(emulator, new ManualClock()).head('job');
@@ -258,7 +263,7 @@
 t.test(
   'a node reports that results or jobs may be missing while a zone is unreachable',
   async (t) => {
-    const setup = await zoneWithStore(t, stream('ab'));
+    const setup = await zoneWithStore(t, streamAnswer('ab'));
     const { emulator, zone, node } = setup;
     await node.service.submit(specification('job', 2), always);
     const nodeInOtherZone = otherNode(setup, 'zone-2');
@@ -367,12 +372,12 @@
   async (t) => {
     const setup = await zoneWithStore(t);
     const { emulator, zone, node } = setup;
-    const commit = emulator.commit.bind(emulator);
+    const originalCommit = emulator.commit.bind(emulator);
     emulator.commit = async (...parts) => {
-      emulator.commit = commit;
+      emulator.commit = originalCommit;
       const nextJournal = zone.journals('other/life').open('job', zone.locations, 2);
       await nextJournal.claim();
-      return commit(...parts);
+      return originalCommit(...parts);
     };
     t.equal(await node.service.submit(specification('job', 1), always), undefined);
     t.same(
--- a/test/jobs/misplaced-jobs.test.ts
+++ b/test/jobs/misplaced-jobs.test.ts
@@ -1,4 +1,4 @@
-/** Region limits on one node: it accepts, caches and retains no job that it may not store. */
+/** Guards against a node that accepts, caches or retains a job that it may not store. */
 import t from 'tap';
 import { NO_PEERS } from '../../lab/common/no-peers.js';
 import { SharedStoreEmulator } from '../../lab/emulator/shared-store-emulator.js';
--- a/test/jobs/near-zone.test.ts
+++ b/test/jobs/near-zone.test.ts
@@ -21,7 +21,7 @@
 };
 
 /** Twelve workers in three zones; `lastInterval` is the event interval of the last zone. */
-function fleet(lastInterval = 40): KnownWorker[] {
+function createWorkers(lastInterval = 40): KnownWorker[] {
   return Array.from({ length: 12 }, (_, index) => {
     const zone = ZONES[index % 3] ?? '';
     const created = new KnownWorker(worker(`w-${index}`, { slots: SLOTS, zone }));
@@ -47,20 +47,20 @@
 }
 
 t.test('items go to the near zone while its workers are not much fuller than others', async (t) => {
-  t.same(placeItems(fleet(), 14, 'zone-0'), [14, 0, 0]);
-  t.same(placeItems(fleet(), 14), [5, 5, 4], 'without a near zone: to all zones equally');
+  t.same(placeItems(createWorkers(), 14, 'zone-0'), [14, 0, 0]);
+  t.same(placeItems(createWorkers(), 14), [5, 5, 4], 'without a near zone: to all zones equally');
 });
 
 t.test(
   'items that the near workers cannot run go to other zones, and all are placed',
   async (t) => {
-    const [near = 0, ...far] = placeItems(fleet(), 60, 'zone-0');
+    const [near = 0, ...far] = placeItems(createWorkers(), 60, 'zone-0');
     t.equal(near + (far[0] ?? 0) + (far[1] ?? 0), 60);
     t.ok(near >= 28, `${near} of 32 near slots taken`);
   },
 );
 
 t.test('items leave the near zone if its workers are slower by half', async (t) => {
-  const counts = placeItems(fleet(60), 8, 'zone-2');
+  const counts = placeItems(createWorkers(60), 8, 'zone-2');
   t.equal(counts[2], 0);
 });
--- a/test/jobs/older-build.test.ts
+++ b/test/jobs/older-build.test.ts
@@ -1,4 +1,4 @@
-/** Compatibility of job records in the shared store between this build and format 1. */
+/** Guards against job records that this build or a build of format 1 cannot read from the other. */
 import t from 'tap';
 import { SharedStoreEmulator } from '../../lab/emulator/shared-store-emulator.js';
 import { JOB_KEYS } from '../../src/jobs/job-records.js';
--- a/test/jobs/partitioned-owner.test.ts
+++ b/test/jobs/partitioned-owner.test.ts
@@ -1,4 +1,7 @@
-/** A job whose partitioned owner releases it, with its work, to the node that takes it over. */
+/**
+ * Guards against the loss of work when a partitioned owner releases its job to the node that takes
+ * it over.
+ */
 import { Readable } from 'node:stream';
 import t from 'tap';
 import { NO_PEERS } from '../../lab/common/no-peers.js';
--- a/test/jobs/status-requests.test.ts
+++ b/test/jobs/status-requests.test.ts
@@ -1,6 +1,6 @@
 /**
- * Status requests of clients to any gateway during faults: reads, bodies, repeated cancellations
- * and repeated submissions are answered correctly or as unavailable, and soon afterwards correctly.
+ * Guards against wrong answers to status requests at any gateway during faults, and answers that
+ * stay unavailable afterwards.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 import t from 'tap';
--- a/test/placement/cold-workers.test.ts
+++ b/test/placement/cold-workers.test.ts
@@ -1,6 +1,6 @@
 /**
- * Permits for cold workers: cold workers receive too many requests after late and lost answers,
- * suspensions, a change of the granter, a start of a gateway or the return of a zone.
+ * Guards against cold workers receiving too many requests after late or lost answers, suspensions,
+ * a change of the granter, a start of a gateway or the return of a zone.
  */
 import t from 'tap';
 import { NOT_GRANTER } from '../../src/placement/cold-permits.js';
--- a/test/placement/distance-costs.test.ts
+++ b/test/placement/distance-costs.test.ts
@@ -1,4 +1,6 @@
-/** Requests and items go to another region although a nearer worker has a free slot. */
+/**
+ * Guards against requests and items going to another region while a nearer worker has a free slot.
+ */
 import t from 'tap';
 import type { ItemNeeds } from '../../src/jobs/item-placement.js';
 import { PlacementRound } from '../../src/jobs/placement-round.js';
@@ -39,8 +41,8 @@
   t.equal(pickedFrom(registryWith({ 'south-1': 0, 'north-2': 0, 'north-1': 1 })), 'north-1');
   t.equal(pickedFrom(registryWith({ 'south-1': 0, 'north-2': 0, 'north-1': 2 })), 'north-2');
   t.equal(pickedFrom(registryWith({ 'south-1': 0, 'north-2': 3, 'north-1': 4 })), 'north-1');
-  const isFull = { 'south-1': 0, 'north-2': SLOTS + 1, 'north-1': SLOTS + 2 };
-  t.equal(pickedFrom(registryWith(isFull)), 'south-1', 'no free slot in the region');
+  const loads = { 'south-1': 0, 'north-2': SLOTS + 1, 'north-1': SLOTS + 2 };
+  t.equal(pickedFrom(registryWith(loads)), 'south-1', 'no free slot in the region');
 });
 
 t.test('a retry and a hedge stay in the region while it has a worker not tried', async (t) => {
--- a/test/placement/job-residency.test.ts
+++ b/test/placement/job-residency.test.ts
@@ -1,6 +1,6 @@
 /**
- * A job is stored outside the regions that its routes and its tenant allow. A property test checks
- * that no node outside is probed, offered the job or made its owner.
+ * Guards against a job being stored, offered or probed for outside the regions that its routes and
+ * its tenant allow.
  */
 import fc from 'fast-check';
 import t from 'tap';
--- a/test/placement/permit-bucket.test.ts
+++ b/test/placement/permit-bucket.test.ts
@@ -1,4 +1,4 @@
-/** A permit bucket grants more requests per second than the hard bound of a cold worker. */
+/** Guards against a permit bucket that exceeds the hard bound of requests per second. */
 import t from 'tap';
 import {
   MAX_GRANT_TO_SEND_DELAY,
--- a/test/placement/send-rules.test.ts
+++ b/test/placement/send-rules.test.ts
@@ -1,4 +1,4 @@
-/** Work is sent to a worker although a send rule rejects it. */
+/** Guards against work being sent to a worker that a send rule rejects. */
 import t from 'tap';
 import { allowedByBoth, allowsRegion } from '../../src/placement/allowed-regions.js';
 import { GuardedEngine } from '../../src/placement/guarded-engine.js';
@@ -61,14 +61,14 @@
 
 t.test('a request uses up one permit, and only where all rules admit it', async (t) => {
   let granted = 1;
-  const grants: SendRule = {
+  const permitRule: SendRule = {
     rejectionOf: () => (granted > 0 ? undefined : 'worker-cold'),
     noteSent: () => {
       granted -= 1;
     },
   };
   const evacuations = new ZoneEvacuations();
-  const rules = new SendRules([grants, evacuations]);
+  const rules = new SendRules([permitRule, evacuations]);
   evacuations.begin('north-1');
   t.equal(rules.admit(workerIn('north-1'), undefined), 'zone-evacuated');
   t.equal(granted, 1, 'a rejected request uses up no permit');
--- a/test/placement/stale-evacuation-rule.test.ts
+++ b/test/placement/stale-evacuation-rule.test.ts
@@ -1,4 +1,4 @@
-/** A partitioned node sends work to zones whose evacuation it has missed. */
+/** Guards against a partitioned node sending work to zones whose evacuation it has missed. */
 import t from 'tap';
 import { StaleEvacuationRule } from '../../src/placement/stale-evacuation-rule.js';
 
--- a/test/placement/worker-warmth.test.ts
+++ b/test/placement/worker-warmth.test.ts
@@ -1,6 +1,6 @@
 /**
- * A worker counts as warm although its record, a probe or the return of its zone indicates that it
- * may be cold.
+ * Guards against a worker counting as warm although its record, a probe or the return of its zone
+ * indicates that it may be cold.
  */
 import t from 'tap';
 import { WorkerWarmth } from '../../src/placement/worker-warmth.js';
--- a/test/placement/zone-return.test.ts
+++ b/test/placement/zone-return.test.ts
@@ -1,6 +1,6 @@
 /**
- * When a zone returns with cold workers while the others are overloaded, all gateways prefer its
- * idle workers, which crash under the load repeatedly.
+ * Guards against an overload of the cold workers of a returning zone while the other zones are
+ * overloaded.
  */
 import t from 'tap';
 import { HARD_BOUND } from './cold-fleet.js';
--- a/test/placement/zone-return.ts
+++ b/test/placement/zone-return.ts
@@ -42,7 +42,7 @@
 const RESTART_TIME: Milliseconds = 2_000;
 const GRANTER = 0;
 const GRANTER_KILLED_AT: Milliseconds = 2_500;
-/** The lease of the lock has expired, and another gateway holds the lock. */
+/** Time at which another gateway acquires the lock, after the lease expired. */
 const NEXT_GRANTER_AT: Milliseconds = 4_500;
 const SUSPENDED = 3;
 const SUSPENSION = { from: 1_800, to: 2_600 } as const;
@@ -148,11 +148,11 @@
   }
 
   private visibleGateways(): string[] {
-    const isGranterMissed = this.now >= GRANTER_KILLED_AT + MEMBERSHIP_DELAY;
-    return this.gateways.map((_, index) => `g${index}`).slice(isGranterMissed ? 1 : 0);
+    const isGranterRemoved = this.now >= GRANTER_KILLED_AT + MEMBERSHIP_DELAY;
+    return this.gateways.map((_, index) => `g${index}`).slice(isGranterRemoved ? 1 : 0);
   }
 
-  /** The steady clock of a suspended machine stops; the missing time counts as suspended. */
+  /** Advances the clocks; for a suspended machine, the suspended time instead. */
   private passTime(): void {
     for (const [index, { clock }] of this.gateways.entries()) {
       if (this.isUp(index)) clock.time += STEP;
--- a/test/routing/home-admission.test.ts
+++ b/test/routing/home-admission.test.ts
@@ -29,14 +29,17 @@
   t.equal(executionStateOf(result.failure), 'no');
   t.equal(admission.stateOf('late'), 'absent', 'no state is stored for it');
   t.equal(admission.counts(worker).outstanding, 10);
-  const before = retryAfterOf(result.failure) ?? 0;
+  const retryAfterBefore = retryAfterOf(result.failure) ?? 0;
   for (let at = 0; at < 8; at += 1) {
     for (const id of admission.dispatchesOf('worker').slice(0, 1)) admission.release(id, 40_000);
     admission.admit(training(`slow-${at}`), 40_000);
   }
   const slower = admission.admit(training('later'), 40_000);
   if (slower.kind !== 'refused') return t.fail('not refused');
-  t.ok((retryAfterOf(slower.failure) ?? 0) > before, 'slower service gives a longer retry delay');
+  t.ok(
+    (retryAfterOf(slower.failure) ?? 0) > retryAfterBefore,
+    'slower service gives a longer retry delay',
+  );
 });
 
 t.test('interactive work preempts the youngest training dispatch', async (t) => {
--- a/test/routing/worker-directory-faults.test.ts
+++ b/test/routing/worker-directory-faults.test.ts
@@ -78,14 +78,14 @@
       fleet.run(8_000);
       for (const [node, directory] of fleet.directories) {
         for (const { worker, zone } of WORKERS) {
-          const seen = directory
+          const candidate = directory
             .candidates(MODEL, ZONES)
-            .find((candidate) => candidate.record.worker === worker);
+            .find((other) => other.record.worker === worker);
           const zoneIsLive = [...fleet.directories.keys()].some((name) => name.startsWith(zone));
           const everLeft = hasReportedLeaving(faults, worker);
           const expected = zoneIsLive ? expectedStates(fleet, worker, everLeft) : ['absent'];
-          const version = seen?.state === 'in-service' ? ` ${seen.activeVersion}` : '';
-          const found = seen === undefined ? 'absent' : `${seen.state}${version}`;
+          const version = candidate?.state === 'in-service' ? ` ${candidate.activeVersion}` : '';
+          const found = candidate === undefined ? 'absent' : `${candidate.state}${version}`;
           if (!expected.includes(found))
             throw new Error(`${node} ${worker}: ${found}, not ${expected}`);
         }
--- a/test/serving/evacuated-zone.test.ts
+++ b/test/serving/evacuated-zone.test.ts
@@ -1,4 +1,6 @@
-/** Retries, hedges and resumed streams avoid the workers of a zone that is being evacuated. */
+/**
+ * Guards against retries, hedges and resumed streams that use workers of a zone under evacuation.
+ */
 import { Readable } from 'node:stream';
 import t from 'tap';
 import { SendRules } from '../../src/placement/send-rules.js';
--- a/test/serving/read-chunks.test.ts
+++ b/test/serving/read-chunks.test.ts
@@ -14,10 +14,10 @@
   broken.destroy(new Error('connection reset'));
   t.equal(await read, undefined);
   const closed = new PassThrough();
-  const other = readChunks(closed, () => true);
+  const closedResult = readChunks(closed, () => true);
   closed.write('half');
   closed.destroy();
-  t.equal(await other, 'broken');
+  t.equal(await closedResult, 'broken');
   t.equal(await readChunks(closed, () => true), 'broken', 'closed before reading');
 });
 
--- a/test/serving/regional-requests.test.ts
+++ b/test/serving/regional-requests.test.ts
@@ -1,4 +1,7 @@
-/** A request is sent to a worker outside the regions that its route and its tenant allow. */
+/**
+ * Guards against a request being sent to a worker outside the regions that its route and its tenant
+ * allow.
+ */
 import t from 'tap';
 import { ResidencyRule } from '../../src/placement/residency-rule.js';
 import { SendRules } from '../../src/placement/send-rules.js';
--- a/test/serving/request-forwarder.test.ts
+++ b/test/serving/request-forwarder.test.ts
@@ -155,8 +155,8 @@
     const refused = await forward([NOT_RUN, UNREACHED, NOT_RUN], { kind: 'mutating' });
     t.equal(refused.sink.failure?.kind, 'overloaded');
     t.ok((refused.sink.failure?.retryAfter ?? 0) > 0);
-    const unknown = await forward([NOT_RUN, BROKEN], { kind: 'mutating' });
-    t.equal(unknown.sink.failure?.kind, 'engine_failed');
+    const unknownOutcome = await forward([NOT_RUN, BROKEN], { kind: 'mutating' });
+    t.equal(unknownOutcome.sink.failure?.kind, 'engine_failed');
   },
 );
 
--- a/test/serving/request-quarantine.test.ts
+++ b/test/serving/request-quarantine.test.ts
@@ -13,8 +13,14 @@
 import { recordingLog, worker } from './serving-fixtures.js';
 
 function requestTo(path: string): FingerprintedRequest {
-  const work = { method: 'POST', host: 'h', path, tenant: undefined, body: Buffer.from('b') };
-  return new FingerprintedRequest(() => work);
+  const requestFields = {
+    method: 'POST',
+    host: 'h',
+    path,
+    tenant: undefined,
+    body: Buffer.from('b'),
+  };
+  return new FingerprintedRequest(() => requestFields);
 }
 
 class Fixture {
--- a/test/serving/serving-fixtures.ts
+++ b/test/serving/serving-fixtures.ts
@@ -188,7 +188,7 @@
   }
 }
 
-/** Quarantine of a node without peers; probes find every worker alive by default. */
+/** Creates the quarantine of a node without peers; probes find every worker alive by default. */
 export function quarantine(
   probeLiveness: (worker: WorkerRecord) => Promise<WorkerLiveness> = async () => 'lives',
 ): RequestQuarantine {
--- a/test/serving/start-gate.test.ts
+++ b/test/serving/start-gate.test.ts
@@ -1,6 +1,6 @@
 /**
- * After a simultaneous restart of all nodes, a caller is rejected by a node without a configuration
- * and again by the next one that it tries.
+ * Guards against a node without a configuration rejecting callers after a simultaneous restart of
+ * all nodes.
  */
 import t from 'tap';
 import {
--- a/test/serving/worker-incarnation.test.ts
+++ b/test/serving/worker-incarnation.test.ts
@@ -1,4 +1,7 @@
-/** State of an earlier incarnation (versions, penalties, load) is applied to a restarted worker. */
+/**
+ * Guards against state of an earlier incarnation (versions, penalties, load) being applied to a
+ * restarted worker.
+ */
 import t from 'tap';
 import { workerIncarnationOf } from '../../src/serving/worker-incarnation.js';
 import { WorkerRegistry } from '../../src/serving/worker-registry.js';
