--- a/src/fleet/crash-reports.ts
+++ b/src/fleet/crash-reports.ts
@@ -162,7 +162,8 @@
   }
 
   private async saveAll(): Promise<void> {
-    // `save` must have stored the promise before the loop can end.
+    // `save` sets `pendingSave` before the loop starts, so that it does not overwrite the reset at
+    // the end.
     await Promise.resolve();
     let delay = MIN_RETRY_DELAY;
     for (let next = this.nextCommit(); next !== undefined; next = this.nextCommit()) {
--- a/src/fleet/fleet-peers.ts
+++ b/src/fleet/fleet-peers.ts
@@ -165,13 +165,13 @@
    * zone runs its own jobs.
    */
   private get likelyOwnerCount(): number {
-    return this.options.placement.isByZone ? LIKELY_OWNER_COUNT_BY_ZONE : LIKELY_OWNER_COUNT;
+    return this.options.placement.runsJobsByZone ? LIKELY_OWNER_COUNT_BY_ZONE : LIKELY_OWNER_COUNT;
   }
 
   async bodyAtOwner(job: string, item: string): Promise<OwnerItemBody | undefined> {
     const owners = this.likelyOwners(job);
     const request = { kind: 'item-body', job, item } as const;
-    for (const owner of this.options.placement.isByZone ? owners : owners.slice(0, 1)) {
+    for (const owner of this.options.placement.runsJobsByZone ? owners : owners.slice(0, 1)) {
       const outcome = await this.requester.request<'item-body'>(
         owner.node,
         request,
--- a/src/fleet/job-placement.ts
+++ b/src/fleet/job-placement.ts
@@ -66,7 +66,7 @@
   constructor(private readonly options: JobPlacementOptions) {}
 
   /** Whether each zone runs the jobs submitted there, also while it is partitioned. */
-  get isByZone(): boolean {
+  get runsJobsByZone(): boolean {
     return this.options.localities?.kind === 'zone';
   }
 
@@ -160,7 +160,7 @@
   private candidatesIn(locality: LocalityName, job: string): NodeId[] {
     const owners = this.ownersIn(locality);
     const inOrder = rendezvousOrder(job, owners, (node) => node);
-    if (this.isByZone) return inOrder;
+    if (this.runsJobsByZone) return inOrder;
     const extended = this.ownersIn(locality, owners.length + 1);
     const [nextInRank] = extended.filter((node) => !owners.includes(node));
     return nextInRank === undefined ? inOrder : [...inOrder, nextInRank];
--- a/src/fleet/model-assignment.ts
+++ b/src/fleet/model-assignment.ts
@@ -132,7 +132,7 @@
       .sort();
   }
 
-  /** Sorts assignments by which workers keep their models: those with local demand first. */
+  /** Sorts assignments: first the workers in the locality from which their model is requested. */
   private localDemandFirst(
     previous: ReadonlyMap<string, ModelName>,
     workers: readonly AssignableWorker[],
--- a/src/fleet/singleton-tasks.ts
+++ b/src/fleet/singleton-tasks.ts
@@ -72,7 +72,9 @@
   readonly reporter: UsageReporter;
 }
 
-/** One node's part in the singleton tasks. */
+/**
+ * Runs the singleton tasks while this node is the coordinator, and counts its usage in any case.
+ */
 export class SingletonTasks {
   private readonly usage: UsageComponents | undefined;
   private readonly scaler: WorkerScaler | undefined;
--- a/src/fleet/submission-router.ts
+++ b/src/fleet/submission-router.ts
@@ -143,7 +143,7 @@
   ): Promise<SubmissionPath> {
     const { requester, clock, placement } = this.options;
     const mayHold = this.residency.holderFilter(this.residency.regionsForSpec(spec));
-    const where = placement.isByZone ? 'own-zone' : 'anywhere';
+    const where = placement.runsJobsByZone ? 'own-zone' : 'anywhere';
     const node = await requester.findNodeReachingStore(where, mayHold);
     if (node === undefined) return { kind: 'here', mayRunElsewhere };
     const limit = Math.max(MIN_OFFER_TIME, deadline - clock.now());
--- a/src/fleet/worker-gate.ts
+++ b/src/fleet/worker-gate.ts
@@ -71,7 +71,7 @@
     this.engine = new GuardedEngine({ engine, rules, log, metrics });
   }
 
-  /** Whether the cached evacuation state is too old to send work by. */
+  /** Whether the cached evacuation state is too old to decide where to send requests. */
   get isEvacuationStateStale(): boolean {
     return this.staleEvacuationRule.isStale;
   }
--- a/src/journal/journal-state.ts
+++ b/src/journal/journal-state.ts
@@ -41,7 +41,7 @@
       : currentHolder;
   }
 
-  /** Whether a holder is already recorded as the one that writes its job. */
+  /** Whether this holder is already recorded as the holder of its job. */
   isCurrentHolder(holder: JournalHolder): boolean {
     const currentHolder = this.jobs.get(holder.job)?.holder;
     return currentHolder?.term === holder.term && currentHolder.writer === holder.writer;
--- a/src/singleton-tasks/cloud-port.ts
+++ b/src/singleton-tasks/cloud-port.ts
@@ -13,7 +13,7 @@
   readonly fencingToken: Revision;
 }
 
-/** Requests that workers started in one window of the time of day. */
+/** Number of requests that workers started in one time window, by tenant. */
 export interface UsageReport {
   /** Number of whole windows between the Unix epoch and the start of this one. */
   readonly window: number;
--- a/src/singleton-tasks/scaling-policy.ts
+++ b/src/singleton-tasks/scaling-policy.ts
@@ -8,7 +8,10 @@
 /** Limits the workers of one service, because each gateway tracks every worker. */
 const MAX_FOLLOWED_WORKERS = 1_000;
 
-/** Time for existing workers to register before any are ordered on a large site. */
+/**
+ * Delay before workers are ordered where the maximum exceeds a zone's share, so that existing
+ * workers register first.
+ */
 const REGISTRATION_TIME: Milliseconds = 10_000;
 
 /**
--- a/src/singleton-tasks/usage-sender.ts
+++ b/src/singleton-tasks/usage-sender.ts
@@ -82,8 +82,10 @@
   async poll(): Promise<void> {
     const { meter, clock, taskHolder } = this.options;
     const { holder, term } = taskHolder();
-    const isNew = this.lastSent.revision !== meter.revision || this.lastSent.term !== term;
-    if (holder === undefined || !isNew || this.isSending || clock.now() < this.nextAt) return;
+    const hasUnsentCounts =
+      this.lastSent.revision !== meter.revision || this.lastSent.term !== term;
+    if (holder === undefined || !hasUnsentCounts || this.isSending || clock.now() < this.nextAt)
+      return;
     this.nextAt = clock.now() + this.sendInterval();
     await this.sendToHolder();
   }
--- a/test/fleet/cold-workers.test.ts
+++ b/test/fleet/cold-workers.test.ts
@@ -1,7 +1,4 @@
-/**
- * Cold workers at one node: its requests to the coordinator, the permits it grants, and its probes
- * of workers.
- */
+/** Guards against work on cold workers without a permit and an unbounded number of probes. */
 import t from 'tap';
 import type { Milliseconds } from '../../src/core/units.js';
 import { ColdWorkers, type ColdWorkersOptions } from '../../src/fleet/cold-workers.js';
@@ -75,7 +72,7 @@
     return this.coldWorkers.rule.rejectionOf(record) === undefined;
   }
 
-  /** Makes this node the coordinator, past the waiting time. */
+  /** Makes this node the coordinator and advances the clock by {@link GRANT_DELAY}. */
   becomeCoordinator(): void {
     this.coordinator = 'self';
     this.token = 7;
--- a/test/fleet/evacuation.test.ts
+++ b/test/fleet/evacuation.test.ts
@@ -1,4 +1,7 @@
-/** Evacuations of zones, alone and together with failures of the store, of nodes and of links. */
+/**
+ * Guards against evacuated zones receiving work, alone and together with failures of the store, of
+ * nodes and of links.
+ */
 import { setTimeout as sleep } from 'node:timers/promises';
 import t from 'tap';
 import { FEED_TRANSLATION } from '../../platform/feeds.js';
--- a/test/fleet/fleet-fixtures.ts
+++ b/test/fleet/fleet-fixtures.ts
@@ -40,10 +40,10 @@
 
 /** Waits until a condition holds; throws after at least 30 s. */
 export async function eventually(holds: () => boolean): Promise<void> {
-  const step: Milliseconds = 5;
+  const pollInterval: Milliseconds = 5;
   for (let attempt = 0; attempt < 6_000; attempt += 1) {
     if (holds()) return;
-    await new Promise((resolve) => setTimeout(resolve, step));
+    await new Promise((resolve) => setTimeout(resolve, pollInterval));
   }
   throw new Error('the condition was not met in 6,000 checks');
 }
--- a/test/fleet/format-versions.test.ts
+++ b/test/fleet/format-versions.test.ts
@@ -1,4 +1,4 @@
-/** A format is written only once no node that cannot read it may be running. */
+/** Guards against a format being written while a node that cannot read it may be running. */
 import t from 'tap';
 import { SharedStoreEmulator } from '../../lab/emulator/shared-store-emulator.js';
 import { CURRENT_FORMAT_VERSION, FIRST_FORMAT_VERSION } from '../../src/core/format-version.js';
--- a/test/fleet/job-placement.test.ts
+++ b/test/fleet/job-placement.test.ts
@@ -131,7 +131,7 @@
   t.same(candidates.map(regionOf), ['north', 'north', 'south', 'south'], 'the owner and the next');
   t.equal(candidates[0], placement.owners()[1]);
   t.same(placement.offerTargets('job').map(regionOf), ['south', 'south', 'north']);
-  t.equal(placement.isByZone, false, 'a region keeps no journal');
+  t.equal(placement.runsJobsByZone, false, 'a region keeps no journal');
 });
 
 t.test(
--- a/test/fleet/jobs-in-regions.test.ts
+++ b/test/fleet/jobs-in-regions.test.ts
@@ -1,6 +1,6 @@
 /**
- * Jobs in gateways of two regions, with and without region limits: placement, reads, takeover,
- * partitions and later changes of a limit.
+ * Guards against jobs being stored, read or taken over outside the regions that their limit allows,
+ * also during partitions and after changes of the limit.
  */
 import t from 'tap';
 import { PROCESS_CLOCK } from '../../src/serving/clock.js';
@@ -32,7 +32,7 @@
 
 /** Polls a job until all of its results are listed. */
 async function untilResultsListed(fleet: RegionalGateways, at: string, job: string): Promise<void> {
-  const { node } = fleet.named(at);
+  const { node } = fleet.gatewayNamed(at);
   let listed = 0;
   const read = async (): Promise<void> => {
     const answer = await node.jobs.read(job, 0, 0, UNRESTRICTED);
@@ -50,7 +50,11 @@
     const fleet = await fleetWith(LIMITED_TO_SOUTH);
     for (const [index, job] of JOBS.entries()) {
       const at = ['n-1', 's-1', 'n-3'][index % 3] ?? 'n-1';
-      t.equal(await fleet.named(at).node.submit(jobOn('pinned', job), always), undefined, job);
+      t.equal(
+        await fleet.gatewayNamed(at).node.submit(jobOn('pinned', job), always),
+        undefined,
+        job,
+      );
       await untilResultsListed(fleet, at, job);
     }
     t.same(fleet.workerRegions(), ['south']);
@@ -80,7 +84,7 @@
     t.ok(PROCESS_CLOCK.now() - startedAt < 1_000);
     t.same(fleet.deliveries, []);
     t.same(fleet.engine.requests, []);
-    t.match(fleet.named('n-1').lines.join(''), /job-refused/);
+    t.match(fleet.gatewayNamed('n-1').lines.join(''), /job-refused/);
     await fleet.stop();
   },
 );
@@ -88,7 +92,7 @@
 t.test('the limit of a tenant applies on a route without one', async (t) => {
   const fleet = await fleetWith({ tenants: { owner: ['south'] } });
   for (const job of JOBS) {
-    await fleet.named('n-1').node.submit(jobOn('free', job, 'owner'), always);
+    await fleet.gatewayNamed('n-1').node.submit(jobOn('free', job, 'owner'), always);
   }
   await eventually(() => fleet.engine.requests.length >= 2 * JOBS.length);
   t.same(fleet.workerRegions(), ['south']);
@@ -98,7 +102,7 @@
 
 t.test('a limit to an unknown region allows no region, and is logged', async (t) => {
   const fleet = await fleetWith({ routes: { pinned: ['suoth'] } });
-  const { node, lines } = fleet.named('n-1');
+  const { node, lines } = fleet.gatewayNamed('n-1');
   t.match(lines.join(''), /"limits":"route pinned".*"region":"suoth".*region-unknown/);
   t.match(await node.submit(jobOn('pinned', 'job'), always), { kind: 'region_unavailable' });
   t.same(fleet.deliveries, []);
@@ -111,15 +115,15 @@
   async (t) => {
     const fleet = await fleetWith(LIMITED_TO_SOUTH);
     fleet.areRegionsPartitioned = true;
-    const refusal = await fleet.named('n-1').node.submit(jobOn('pinned', 'job'), always);
+    const refusal = await fleet.gatewayNamed('n-1').node.submit(jobOn('pinned', 'job'), always);
     t.match(refusal, { kind: 'region_unavailable' }, 'it was sent to no node');
     t.same(fleet.deliveries, []);
     t.same(fleet.runnersOf('job'), []);
     fleet.areRegionsPartitioned = false;
-    t.equal(await fleet.named('s-1').node.submit(jobOn('pinned', 'job'), always), undefined);
+    t.equal(await fleet.gatewayNamed('s-1').node.submit(jobOn('pinned', 'job'), always), undefined);
     fleet.areRegionsPartitioned = true;
     t.equal(
-      await fleet.named('n-2').node.submit(jobOn('pinned', 'job'), always),
+      await fleet.gatewayNamed('n-2').node.submit(jobOn('pinned', 'job'), always),
       undefined,
       'a repetition of a stored job is accepted',
     );
@@ -132,7 +136,7 @@
   async (t) => {
     const fleet = await fleetWith(LIMITED_TO_SOUTH);
     fleet.engine.holds = true;
-    await fleet.named('n-1').node.submit(jobOn('pinned', 'job'), always);
+    await fleet.gatewayNamed('n-1').node.submit(jobOn('pinned', 'job'), always);
     const [owner = ''] = fleet.runnersOf('job');
     t.ok(SOUTHERN.includes(owner), owner);
     for (const name of SOUTHERN) fleet.store.erase(`fleet/node/${name}`);
@@ -148,9 +152,9 @@
 t.test('a job is taken over within its region, whichever node finds it orphaned', async (t) => {
   const fleet = await fleetWith(LIMITED_TO_SOUTH);
   fleet.engine.holds = true;
-  for (const job of JOBS) await fleet.named('n-1').node.submit(jobOn('pinned', job), always);
+  for (const job of JOBS) await fleet.gatewayNamed('n-1').node.submit(jobOn('pinned', job), always);
   const [lost = ''] = fleet.runnersOf('job-1');
-  await fleet.named(lost).node.stop();
+  await fleet.gatewayNamed(lost).node.stop();
   await eventually(() => JOBS.every((job) => fleet.runnersOf(job).some((name) => name !== lost)));
   const runners = JOBS.flatMap((job) => fleet.runnersOf(job));
   t.ok(
@@ -166,7 +170,8 @@
   async (t) => {
     const fleet = await fleetWith({ routes: { pinned: ['north'] } });
     fleet.engine.holds = true;
-    for (const job of JOBS) await fleet.named('n-1').node.submit(jobOn('pinned', job), always);
+    for (const job of JOBS)
+      await fleet.gatewayNamed('n-1').node.submit(jobOn('pinned', job), always);
     t.ok(JOBS.flatMap((job) => fleet.runnersOf(job)).every((name) => name.startsWith('n')));
     fleet.configure(LIMITED_TO_SOUTH);
     await fleet.configured();
@@ -190,11 +195,11 @@
 t.test('a job whose route is removed stays in the region that accepted it', async (t) => {
   const fleet = await fleetWith({ routes: { pinned: ['south'], other: ['north'] } });
   fleet.engine.holds = true;
-  await fleet.named('s-1').node.submit(jobOn('pinned', 'job'), always);
+  await fleet.gatewayNamed('s-1').node.submit(jobOn('pinned', 'job'), always);
   fleet.configure({ routes: { other: ['north'] } });
   await fleet.configured();
   const [lost = ''] = fleet.runnersOf('job');
-  await fleet.named(lost).node.stop();
+  await fleet.gatewayNamed(lost).node.stop();
   await eventually(() => fleet.runnersOf('job').some((name) => name !== lost));
   t.ok(fleet.runnersOf('job').every((name) => SOUTHERN.includes(name)));
   t.same(fleet.reachedIn('north'), []);
@@ -203,12 +208,12 @@
 
 t.test('a gateway without the store reads results within their region', async (t) => {
   const fleet = await fleetWith(LIMITED_TO_SOUTH);
-  await fleet.named('s-1').node.submit(jobOn('pinned', 'job'), always);
+  await fleet.gatewayNamed('s-1').node.submit(jobOn('pinned', 'job'), always);
   await untilResultsListed(fleet, 's-1', 'job');
   fleet.withoutStore.add('n-1');
   await PROCESS_CLOCK.sleep(1_500);
   fleet.deliveries.length = 0;
-  const read = await fleet.named('n-1').node.jobs.read('job', 0, 0, UNRESTRICTED);
+  const read = await fleet.gatewayNamed('n-1').node.jobs.read('job', 0, 0, UNRESTRICTED);
   t.match(read, { total: 2, results: { length: 2 } });
   t.ok(fleet.deliveries.every(({ to }) => to === 'n-1' || SOUTHERN.includes(to)));
   await fleet.stop();
@@ -216,10 +221,10 @@
 
 t.test('a gateway outside caches the owner of a job and reads the store no more', async (t) => {
   const fleet = await fleetWith(LIMITED_TO_SOUTH);
-  await fleet.named('s-1').node.submit(jobOn('pinned', 'job'), always);
+  await fleet.gatewayNamed('s-1').node.submit(jobOn('pinned', 'job'), always);
   await untilResultsListed(fleet, 'n-1', 'job');
   fleet.store.calls.clear();
-  const { node } = fleet.named('n-1');
+  const { node } = fleet.gatewayNamed('n-1');
   for (const after of [0, 1, 2, 0]) {
     t.match(await node.jobs.read('job', after, 0, UNRESTRICTED), {
       results: { length: 2 - after },
@@ -232,7 +237,7 @@
 t.test('without limits the other region takes over the jobs of a failed region', async (t) => {
   const fleet = await fleetWith({});
   fleet.engine.holds = true;
-  await fleet.named('s-1').node.submit(jobOn('free', 'job'), always);
+  await fleet.gatewayNamed('s-1').node.submit(jobOn('free', 'job'), always);
   const [owner = ''] = fleet.runnersOf('job');
   t.ok(SOUTHERN.includes(owner), owner);
   fleet.areRegionsPartitioned = true;
@@ -249,7 +254,7 @@
   const handedInAt = (at: string): string[] => jobs.map((job) => `${at}-${job}`);
   for (const at of ['n-1', 's-1']) {
     for (const job of handedInAt(at)) {
-      t.equal(await fleet.named(at).node.submit(jobOn('free', job), always), undefined);
+      t.equal(await fleet.gatewayNamed(at).node.submit(jobOn('free', job), always), undefined);
     }
   }
   const runnersOf = (at: string): string[] =>
@@ -265,12 +270,16 @@
   'with autonomous zones a job and its journal are stored in the region of the job',
   async (t) => {
     const fleet = await fleetWith(LIMITED_TO_SOUTH, await replicasInAllZones(t));
-    await fleet.named('n-1').node.submit(jobOn('pinned', 'first'), always);
+    await fleet.gatewayNamed('n-1').node.submit(jobOn('pinned', 'first'), always);
     // Jobs are written to the journal while the store is slow.
     fleet.commitTime = 300;
     for (const [index, job] of JOBS.entries()) {
       const at = ['n-1', 's-1', 'n-3'][index % 3] ?? 'n-1';
-      t.equal(await fleet.named(at).node.submit(jobOn('pinned', job), always), undefined, job);
+      t.equal(
+        await fleet.gatewayNamed(at).node.submit(jobOn('pinned', job), always),
+        undefined,
+        job,
+      );
       await untilResultsListed(fleet, at, job);
     }
     t.same(fleet.workerRegions(), ['south']);
--- a/test/fleet/late-configuration.test.ts
+++ b/test/fleet/late-configuration.test.ts
@@ -1,6 +1,6 @@
 /**
- * Guards against a change that takes effect late at followers of relays that lost the store: every
- * wait at a relay and the search for another one must fit into the change bound together.
+ * Guards against changes arriving later than the change bound at followers of relays that lost the
+ * store.
  */
 import t from 'tap';
 import { PROCESS_CLOCK } from '../../src/serving/clock.js';
--- a/test/fleet/peer-requester.test.ts
+++ b/test/fleet/peer-requester.test.ts
@@ -1,6 +1,6 @@
 /**
- * Guards against a node that probes only its own zone for access to the store: where a whole region
- * cannot reach the store, the other region can still accept jobs.
+ * Guards against a node probing only its own zone for access to the store, and so rejecting jobs
+ * that another region could accept.
  */
 import t from 'tap';
 import type { FleetRegistry } from '../../src/fleet/fleet-registry.js';
--- a/test/fleet/prefix-sources.test.ts
+++ b/test/fleet/prefix-sources.test.ts
@@ -1,4 +1,4 @@
-/** The source of each prefix, and the time without one, are tracked and logged. */
+/** Guards against a wrong or unlogged source of a prefix, or a wrong time without one. */
 import t from 'tap';
 import { PrefixSources, STORE_SOURCE } from '../../src/fleet/prefix-sources.js';
 import { ManualClock } from '../jobs/job-fixtures.js';
--- a/test/fleet/query-of-death.test.ts
+++ b/test/fleet/query-of-death.test.ts
@@ -1,6 +1,6 @@
 /**
- * Guards against one crash-inducing request that takes down a whole service because its caller
- * retries it at several gateways: at most three workers may crash, counted over all gateways.
+ * Guards against one crash-inducing request, retried at several gateways, crashing more than three
+ * workers over all gateways.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 import t from 'tap';
@@ -244,9 +244,9 @@
   await workers.whole(WORKERS);
   t.equal((await fleet.ask(gatewayAt(fleet, 2), path, 'lookup')).status, 200);
   await eventually(() => fleet.store.keys('fleet/worker-end/').length === 0);
-  const last = fleet.ask(gatewayAt(fleet, 3), path, 'lookup');
+  const pendingRequest = fleet.ask(gatewayAt(fleet, 3), path, 'lookup');
   workers.end(workers.reached.at(-1)?.worker.id ?? '');
-  await last;
+  await pendingRequest;
   await workers.whole(WORKERS);
   t.equal((await fleet.ask(gatewayAt(fleet, 3), path, 'lookup')).status, 200);
 });
--- a/test/fleet/region-cut.test.ts
+++ b/test/fleet/region-cut.test.ts
@@ -1,6 +1,6 @@
 /**
- * A fleet over two regions with the store in `north`: what `south` serves, what it rejects, and how
- * its jobs continue while it is partitioned from the other region or only from the store.
+ * Guards against the loss of service and of jobs in a region that is partitioned from the other
+ * region or only from the store.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 import t from 'tap';
--- a/test/fleet/regional-gateways.ts
+++ b/test/fleet/regional-gateways.ts
@@ -142,7 +142,7 @@
   configure({ routes = {}, tenants = {} }: Limits): void {
     this.version += 1;
     const common = { host: HOST, kind: 'rollout', service: 'service', max_attempts: 3 };
-    const named = Object.entries({ free: undefined, ...routes }).map(([name, regions]) => ({
+    const namedRoutes = Object.entries({ free: undefined, ...routes }).map(([name, regions]) => ({
       ...{ ...common, name, path_prefix: `/${name}/`, target_latency_ms: 500 },
       ...(regions === undefined ? {} : { allowed_regions: regions }),
     }));
@@ -150,7 +150,7 @@
       ...{ name, api_keys: [`key of ${name}`], allowed_regions: regions },
     }));
     const services = [{ name: 'service' }];
-    const configuration = { version: this.version, routes: named, services, limits: LIMITS };
+    const configuration = { version: this.version, routes: namedRoutes, services, limits: LIMITS };
     this.store.write('op/config', JSON.stringify({ ...configuration, tenants: tenantRecords }));
   }
 
@@ -164,7 +164,7 @@
     return [...this.gateways.values()];
   }
 
-  named(name: string): RegionalGateway {
+  gatewayNamed(name: string): RegionalGateway {
     const gateway = this.gateways.get(name);
     if (gateway === undefined) throw new Error(name);
     return gateway;
@@ -179,7 +179,7 @@
       .map(({ name }) => name);
   }
 
-  /** Gateways of a region that received a body or a result from another gateway. */
+  /** Distinct deliveries of bodies and results to gateways of a region, as `GATEWAY by KIND`. */
   reachedIn(region: string): string[] {
     const reached = this.deliveries.filter(({ to }) => this.regionOf(to) === region);
     return [...new Set(reached.map(({ to, by }) => `${to} by ${by}`))];
@@ -193,7 +193,7 @@
 
   private regionOf(name: string): string | undefined {
     const replica = this.replicas.places.find(({ address }) => address === name);
-    return ZONE_REGIONS.get((replica ?? this.named(name)).zone);
+    return ZONE_REGIONS.get((replica ?? this.gatewayNamed(name)).zone);
   }
 
   private add(name: string, zone: string): void {
--- a/test/fleet/regional-relays.test.ts
+++ b/test/fleet/regional-relays.test.ts
@@ -1,6 +1,6 @@
 /**
- * Guards against one read of the store for each zone of a remote region: each change crosses the
- * link to a region once.
+ * Guards against each zone of a remote region reading the store itself, so that a change crosses
+ * the link to the region several times.
  */
 import t from 'tap';
 import { PROCESS_CLOCK } from '../../src/serving/clock.js';
@@ -17,7 +17,7 @@
   return new RelayedFleet(NODES, { coalesce: 5, retryPause: 5 }, regionOf);
 }
 
-const byName = (zone: string): string => zone.split('-')[0] ?? zone;
+const regionOfZone = (zone: string): string => zone.split('-')[0] ?? zone;
 
 /** Calls of the nodes of a region to the store so far. */
 function callsFrom(fleet: RelayedFleet, region: string): number {
@@ -57,14 +57,14 @@
 }
 
 t.test('a change crosses the link to a region once, not once for each zone', async (t) => {
-  const before = fleetWith();
-  await before.start();
-  const costBefore = await costOfChanges(before);
-  before.stop();
-  const after = fleetWith(byName);
-  await after.start();
-  const costAfter = await costOfChanges(after);
-  after.stop();
+  const fleetWithoutRegions = fleetWith();
+  await fleetWithoutRegions.start();
+  const costBefore = await costOfChanges(fleetWithoutRegions);
+  fleetWithoutRegions.stop();
+  const fleetWithRegions = fleetWith(regionOfZone);
+  await fleetWithRegions.start();
+  const costAfter = await costOfChanges(fleetWithRegions);
+  fleetWithRegions.stop();
   const costs = `${costBefore} calls for ${CHANGES} changes by zone, ${costAfter} by region`;
   t.comment(costs);
   // Changes close together may share one answer.
@@ -72,7 +72,7 @@
 });
 
 t.test('a change arrives in time when the first relay stops answering', async (t) => {
-  const fleet = fleetWith(byName);
+  const fleet = fleetWith(regionOfZone);
   await fleet.start();
   const firstRelay = await firstFarRelay(fleet);
   fleet.silent.add(firstRelay);
@@ -89,7 +89,7 @@
 });
 
 t.test('a change arrives in time when only the first relay loses the store', async (t) => {
-  const fleet = fleetWith(byName);
+  const fleet = fleetWith(regionOfZone);
   await fleet.start();
   const firstRelay = await firstFarRelay(fleet);
   fleet.blockStore(firstRelay);
@@ -100,7 +100,7 @@
 });
 
 t.test('a region that lost the store receives changes through the other', async (t) => {
-  const fleet = fleetWith(byName);
+  const fleet = fleetWith(regionOfZone);
   await fleet.start();
   for (const node of fleet.names()) if (node.startsWith('far')) fleet.blockStore(node);
   const time = await fleet.propagationTime('cut', fleet.followers());
@@ -109,7 +109,7 @@
 });
 
 t.test('a relay that reads through another answers followers but no third relay', async (t) => {
-  const fleet = fleetWith(byName);
+  const fleet = fleetWith(regionOfZone);
   await fleet.start();
   const firstRelay = await firstFarRelay(fleet);
   const second = fleet.relays().find((node) => node.startsWith('far') && node !== firstRelay) ?? '';
--- a/test/fleet/regional-takeover.test.ts
+++ b/test/fleet/regional-takeover.test.ts
@@ -1,5 +1,5 @@
 /**
- * Guards against takeovers by a node of another region, far away from the job's trainer and
+ * Guards against a job being taken over by a node of another region, far away from its trainer and
  * workers.
  */
 import t from 'tap';
--- a/test/fleet/regions-property.test.ts
+++ b/test/fleet/regions-property.test.ts
@@ -1,6 +1,6 @@
 /**
  * Guards against data of a job that is limited to a region reaching a worker outside the region, or
- * a gateway outside it at which no caller reads the job, for random calls and failures.
+ * a gateway outside it at which no caller reads the job.
  */
 import fc from 'fast-check';
 import t from 'tap';
@@ -70,7 +70,7 @@
   }
 
   private async call(kind: FleetEvent['kind'], at: string, job: number): Promise<void> {
-    const { jobs } = this.fleet.named(at).node;
+    const { jobs } = this.fleet.gatewayNamed(at).node;
     const id = `job-${job}`;
     const until = PROCESS_CLOCK.now() + CALL_TIMEOUT;
     const isStillNeeded = (): boolean => PROCESS_CLOCK.now() < until;
--- a/test/fleet/relayed-fleet.ts
+++ b/test/fleet/relayed-fleet.ts
@@ -54,8 +54,8 @@
   private readonly storeBlockedSince = new Map<string, Milliseconds>();
   private silencedAt: Milliseconds = Number.NEGATIVE_INFINITY;
 
-  /** Names of zones by node. */
   constructor(
+    /** The zone of each node. */
     zones: Readonly<Record<string, string>>,
     private readonly delays: Delays = {},
     /** The region of a zone, where the fleet spans several. */
@@ -136,7 +136,6 @@
     return this.nodes.get(node)?.relay.contactAge(PREFIX) ?? Number.POSITIVE_INFINITY;
   }
 
-  /** A node's answer to one request for a list. */
   listAnswerOf(node: string, request: PeerRequestOf<'list-prefix'>): unknown {
     return this.nodes.get(node)?.relay.answerList(request);
   }
@@ -193,7 +192,7 @@
     return now - (this.storeBlockedSince.get(node) ?? now);
   }
 
-  /** The store as this node reaches it. */
+  /** The store with the failures simulated for one node. */
   private storeOf(node: string): SharedStore {
     const store = this.store;
     const unanswered = async (wait: Milliseconds) => {
@@ -260,7 +259,6 @@
   readonly store: SharedStoreEmulator;
   readonly relay: WatchRelay;
   readonly outcome: Promise<StoreWatchOutcome>;
-  /** Ends the watch. */
   readonly stop: () => void;
 }> {
   const store = new SharedStoreEmulator();
--- a/test/fleet/silent-watch.test.ts
+++ b/test/fleet/silent-watch.test.ts
@@ -1,7 +1,4 @@
-/**
- * Guards against a relay that reports no changes for as long as its watch waits on a stalled
- * connection.
- */
+/** Guards against a relay reporting no changes while its watch waits on a stalled connection. */
 import t from 'tap';
 import { PROCESS_CLOCK } from '../../src/serving/clock.js';
 import { CHANGE_BOUND, RelayedFleet } from './relayed-fleet.js';
--- a/test/fleet/submission-router.test.ts
+++ b/test/fleet/submission-router.test.ts
@@ -1,6 +1,4 @@
-/**
- * Guards against offers during an outage of the store that together exceed the caller's timeout.
- */
+/** Guards against offers during an outage of the store together exceeding the caller's timeout. */
 import t from 'tap';
 import type { FleetRegistry } from '../../src/fleet/fleet-registry.js';
 import type { JobPlacement } from '../../src/fleet/job-placement.js';
--- a/test/fleet/suspended-node.test.ts
+++ b/test/fleet/suspended-node.test.ts
@@ -1,6 +1,6 @@
 /**
- * Guards against cached state that looks fresh after a suspension, during which the steady clock
- * stands still: orders under an expired lock, and answers about a store that has not answered.
+ * Guards against orders under an expired lock and answers from stale state after a suspension,
+ * during which the steady clock stands still.
  */
 import t from 'tap';
 import { SharedStoreEmulator } from '../../lab/emulator/shared-store-emulator.js';
--- a/test/fleet/turned-away-relay.test.ts
+++ b/test/fleet/turned-away-relay.test.ts
@@ -1,6 +1,5 @@
 /**
- * Guards against relays that learn of no changes while the store rejects them alone: they request
- * other relays, as followers do.
+ * Guards against missed changes at a relay that the store rejects while it answers other relays.
  */
 import t from 'tap';
 import { PROCESS_CLOCK } from '../../src/serving/clock.js';
@@ -46,8 +45,8 @@
   fleet.blockStore(relay);
   const time = await fleet.propagationTime('changed', [relay]);
   t.ok(time < MAX_PROPAGATION_TIME, `received after ${time} ms`);
-  const again = await fleet.propagationTime('changed again', [relay]);
-  t.ok(again < MAX_PROPAGATION_TIME, `the next one after ${again} ms`);
+  const secondTime = await fleet.propagationTime('changed again', [relay]);
+  t.ok(secondTime < MAX_PROPAGATION_TIME, `the next one after ${secondTime} ms`);
   fleet.stop();
 });
 
--- a/test/fleet/watch-relay.test.ts
+++ b/test/fleet/watch-relay.test.ts
@@ -26,12 +26,12 @@
   // A relay that was requested before it watched is excluded for a while; then ten changes cost ten
   // answers of the store rather than forty.
   for (let tries = 0; cost > 12 && tries < 40; tries += 1) {
-    const before = zone.watchCalls;
+    const callsBefore = zone.watchCalls;
     for (let round = 0; round < 10; round += 1) {
       zone.store.write(`${PREFIX}w1`, `${tries}-${round}`);
       await eventually(() => zone.nodesWith('w1', `${tries}-${round}`).length === NODES.length);
     }
-    cost = zone.watchCalls - before;
+    cost = zone.watchCalls - callsBefore;
     await PROCESS_CLOCK.sleep(100);
   }
   t.ok(cost <= 12, `ten changes cost ${cost} watches`);
--- a/test/fleet/weight-rollout.test.ts
+++ b/test/fleet/weight-rollout.test.ts
@@ -228,10 +228,10 @@
   // Another node knows the worker only by its record.
   const other = new WorkerRegistry();
   other.put(worker('w1', { startedAt: 1_000 }));
-  const known = other.get('w1');
+  const knownWorker = other.get('w1');
   const needs = { model: 'model-a', minVersion: 1, relativeLength: 1, boundVersion: undefined };
   const may = (model: string, now: number) =>
-    known !== undefined && mayRun(known, { ...needs, model }, now);
+    knownWorker !== undefined && mayRun(knownWorker, { ...needs, model }, now);
   const [loading, loaded] = changes;
   if (loading === undefined || loaded === undefined) return t.fail('no change was reported');
   applyWeightChange(other, loading, 1_000);
@@ -240,7 +240,7 @@
   applyWeightChange(other, loading, 4_000);
   applyWeightChange(other, loaded, 4_100);
   t.ok(may('model-a', 4_200));
-  t.equal(known?.versionOf('model-a'), 5);
+  t.equal(knownWorker?.versionOf('model-a'), 5);
   other.put(worker('w1', { startedAt: 2_000 }));
   applyWeightChange(other, loading, 5_000);
   t.notOk(other.get('w1')?.isLoading('model-a', 5_100), 'that was another incarnation');
@@ -251,7 +251,7 @@
   readonly engine: ScriptedEngine;
   readonly clock: ManualClock;
   readonly rollout: WeightRollout;
-  readonly ordered: () => string[];
+  readonly orderedWorkerIds: () => string[];
   readonly advance: (duration: number) => Promise<void>;
 } {
   const registry = new WorkerRegistry();
@@ -264,7 +264,7 @@
   const clock = new ManualClock();
   const isEvacuated = ({ record }: KnownWorker): boolean => record.zone === 'zone-2';
   const rollout = rolloutOver(registry, engine, clock, [], isEvacuated);
-  const ordered = (): string[] => engine.orders.map((order) => order.worker.id);
+  const orderedWorkerIds = (): string[] => engine.orders.map((order) => order.worker.id);
   const advance = async (duration: number): Promise<void> => {
     const end = clock.time + duration;
     while (clock.time < end) {
@@ -275,13 +275,17 @@
       for (let turn = 0; turn < 5; turn += 1) await new Promise((resolve) => setImmediate(resolve));
     }
   };
-  return { engine, clock, rollout, ordered, advance };
+  return { engine, clock, rollout, orderedWorkerIds, advance };
 }
 
 t.test('workers of an evacuated zone load after all others, and not at once', async (t) => {
   const run = halfEvacuated();
   await run.advance(3_000);
-  t.same(run.ordered().sort(), ['w0', 'w1', 'w2', 'w3', 'w4'], 'though all lag two versions');
+  t.same(
+    run.orderedWorkerIds().sort(),
+    ['w0', 'w1', 'w2', 'w3', 'w4'],
+    'though all lag two versions',
+  );
   await run.advance(8_000);
-  t.same(run.ordered().slice(5).sort(), ['w5', 'w6', 'w7', 'w8', 'w9']);
+  t.same(run.orderedWorkerIds().slice(5).sort(), ['w5', 'w6', 'w7', 'w8', 'w9']);
 });
--- a/test/journal/journal-file.test.ts
+++ b/test/journal/journal-file.test.ts
@@ -4,7 +4,7 @@
 import t from 'tap';
 import { JournalFile } from '../../src/journal/journal-file.js';
 import type { JournalChange } from '../../src/journal/journal-state.js';
-import { CREATED, openReplica, page, temporaryFolder } from './journal-fixtures.js';
+import { CREATED_ENTRY, openReplica, page, temporaryFolder } from './journal-fixtures.js';
 
 const HOLDER = { job: 'job', term: 1, writer: 'node-1/life-1' };
 
@@ -111,7 +111,7 @@
   const folder = temporaryFolder(t);
   const before = await openReplica(folder);
   const { disk } = before;
-  const entries = [CREATED, page(0), page(1)];
+  const entries = [CREATED_ENTRY, page(0), page(1)];
   const append = { kind: 'journal-append', disk, holder: HOLDER, entries } as const;
   t.same(await before.answer(append), { kind: 'granted', entries: [] });
   const release = { kind: 'journal-release', disk, holder: HOLDER, keys: ['page/0'] } as const;
@@ -126,7 +126,7 @@
   const nextHolder = { ...otherWriter, term: 2 };
   t.same(await after.answer({ kind: 'journal-claim', disk, holder: nextHolder }), {
     kind: 'granted',
-    entries: [CREATED, page(1)],
+    entries: [CREATED_ENTRY, page(1)],
   });
   t.match(await after.answer(append), { kind: 'refused', holder: nextHolder });
   t.same(await after.answer({ kind: 'journal-list' }), { disk, jobs: [nextHolder] });
--- a/test/journal/journal-fixtures.ts
+++ b/test/journal/journal-fixtures.ts
@@ -107,7 +107,7 @@
   }
 }
 
-export const CREATED: JournalEntry = {
+export const CREATED_ENTRY: JournalEntry = {
   kind: 'created',
   spec: specification('job', 2),
   replicas: [],
--- a/test/journal/older-build.test.ts
+++ b/test/journal/older-build.test.ts
@@ -1,4 +1,4 @@
-/** Guards the compatibility of journal files between this build, format 1 and later builds. */
+/** Guards against journal files being unreadable between this build, format 1 and later builds. */
 import { appendFileSync, mkdirSync, readdirSync, readFileSync, writeFileSync } from 'node:fs';
 import path from 'node:path';
 import t from 'tap';
--- a/test/journal/replica-directory.test.ts
+++ b/test/journal/replica-directory.test.ts
@@ -1,6 +1,6 @@
 /**
- * Guards against a 404 for an accepted job: a gateway that has just started must not rely on the store
- * alone before it knows the replicas of a partitioned zone's journal.
+ * Guards against a 404 for an accepted job from a gateway that has just started and does not know
+ * the journal replicas of a partitioned zone.
  */
 import t from 'tap';
 import { JOURNAL_ZONE_PREFIX, ReplicaDirectory } from '../../src/journal/replica-directory.js';
--- a/test/peers/older-build.test.ts
+++ b/test/peers/older-build.test.ts
@@ -1,4 +1,7 @@
-/** Guards the compatibility of peer requests between this build and format 1, both ways. */
+/**
+ * Guards against peer requests being unreadable between this build and format 1, in either
+ * direction.
+ */
 import http from 'node:http';
 import type { AddressInfo, Socket } from 'node:net';
 import { parse, stringify } from 'devalue';
--- a/test/platform-adapter/engine-client.test.ts
+++ b/test/platform-adapter/engine-client.test.ts
@@ -30,9 +30,9 @@
     socket.on('error', () => {});
     socket.on('data', (chunk: Buffer) => {
       pending += chunk.toString('latin1');
-      const length = Number(/content-length: (\d+)/i.exec(pending)?.[1] ?? 0);
+      const bodyLength = Number(/content-length: (\d+)/i.exec(pending)?.[1] ?? 0);
       const head = pending.indexOf('\r\n\r\n');
-      if (head < 0 || pending.length < head + 4 + length) return;
+      if (head < 0 || pending.length < head + 4 + bodyLength) return;
       requests.push(pending);
       const id = /x-wardwing-request-id: (\S+)/i.exec(pending)?.[1] ?? '';
       pending = '';
@@ -125,8 +125,8 @@
   await new Promise((resolve) => setTimeout(resolve, 10));
   const abort = new AbortController();
   const lost = worker.send({}, abort.signal);
-  const found = await worker.send({ wantsNewConnection: true });
-  t.equal(await bodyOf(found), 'four');
+  const newConnectionOutcome = await worker.send({ wantsNewConnection: true });
+  t.equal(await bodyOf(newConnectionOutcome), 'four');
   t.equal(worker.connections(), 3, 'the other pooled connection stays open');
   abort.abort();
   t.match(await lost, { kind: 'failed', cause: 'cancelled' });
--- a/test/shared-store/prefix-watcher.test.ts
+++ b/test/shared-store/prefix-watcher.test.ts
@@ -157,15 +157,15 @@
   store.write('a/1', 'one');
   store.write('a/gone', 'old');
   const older = await store.range('a/');
-  const real = store.range.bind(store);
+  const originalRange = store.range.bind(store);
   const { watcher, seen, until } = follow(store);
   await until(2);
   store.write('a/2', 'two');
   store.erase('a/gone');
   await until(4);
   store.range = async (prefix) => {
-    store.range = real;
-    await real(prefix);
+    store.range = originalRange;
+    await originalRange(prefix);
     return older;
   };
   store.setAvailability('refusing');
--- a/test/singleton-tasks/singleton-task-fixtures.ts
+++ b/test/singleton-tasks/singleton-task-fixtures.ts
@@ -59,7 +59,7 @@
   }
 }
 
-/** The usage parts of one node. */
+/** The usage components of one node, with its lock and log lines. */
 export interface UsageNode {
   readonly reporter: UsageReporter;
   readonly meter: UsageMeter;
--- a/test/singleton-tasks/usage-report-property.test.ts
+++ b/test/singleton-tasks/usage-report-property.test.ts
@@ -1,4 +1,6 @@
-/** Guards against different reports of one window under any mix of holders, outages and restarts. */
+/**
+ * Guards against different reports of one window under any mix of holders, outages and restarts.
+ */
 import * as fc from 'fast-check';
 import t from 'tap';
 import { UsageFleet, type UsageNode, WINDOW } from './singleton-task-fixtures.js';
--- a/test/singleton-tasks/usage-reporter.test.ts
+++ b/test/singleton-tasks/usage-reporter.test.ts
@@ -1,7 +1,7 @@
 import t from 'tap';
 import { DUE_AFTER, UsageFleet, WINDOW } from './singleton-task-fixtures.js';
 
-/** The clock starts at 1 s after the Unix epoch, in window 0. */
+/** Time after which windows 0 to 2 are due; the clock starts in window 0. */
 const DAY_PART = 3 * WINDOW + DUE_AFTER;
 
 t.test('each window is reported once, after its counts had time to arrive', async (t) => {
--- a/test/singleton-tasks/worker-scaler.test.ts
+++ b/test/singleton-tasks/worker-scaler.test.ts
@@ -29,7 +29,7 @@
   readonly lock: StubLock;
   readonly clock: ManualClock;
   readonly registry: WorkerRegistry;
-  readonly desired: Map<string, number>;
+  readonly desiredWorkers: Map<string, number>;
   readonly evacuated: Set<string>;
   pass(duration: number): Promise<void>;
 }
@@ -39,7 +39,7 @@
   const lock = new StubLock();
   const clock = new ManualClock();
   const registry = new WorkerRegistry();
-  const desired = new Map([
+  const desiredWorkers = new Map([
     ['zone-1', 1],
     ['zone-2', 2],
   ]);
@@ -47,7 +47,7 @@
   const scaler = new WorkerScaler({
     isEvacuated: (zone) => evacuated.has(zone),
     ...{ port: cloud, lock, clock, registry, node: 'one' },
-    policy: { desiredWorkers: () => desired },
+    policy: { desiredWorkers: () => desiredWorkers },
     services: () => [service('fixed', undefined), service('service', scaling)],
     log: recordingLog().log,
     metrics: new FleetMetrics(),
@@ -60,7 +60,7 @@
       await new Promise((go) => setImmediate(go));
     }
   };
-  return { cloud, lock, clock, registry, desired, evacuated, pass };
+  return { cloud, lock, clock, registry, desiredWorkers: desiredWorkers, evacuated, pass };
 }
 
 const ordered = (cloud: StubCloud): string[] =>
@@ -72,7 +72,7 @@
     const run = fixture();
     await run.pass(2_000);
     t.same(ordered(run.cloud), ['service zone-1 1', 'service zone-2 2']);
-    run.desired.set('zone-2', 3);
+    run.desiredWorkers.set('zone-2', 3);
     await run.pass(2_000);
     t.same(ordered(run.cloud).slice(2), ['service zone-2 3']);
   },
@@ -80,7 +80,7 @@
 
 t.test('a failed order is repeated unchanged', async (t) => {
   const run = fixture();
-  run.desired.delete('zone-2');
+  run.desiredWorkers.delete('zone-2');
   run.cloud.outcomes = ['unknown', 'throttled', 'unavailable'];
   await run.pass(5_000);
   t.same(ordered(run.cloud), Array(4).fill('service zone-1 1'));
@@ -88,7 +88,7 @@
 
 t.test('missing workers are ordered again after their boot time', async (t) => {
   const run = fixture();
-  run.desired.delete('zone-2');
+  run.desiredWorkers.delete('zone-2');
   await run.pass(9_000);
   t.equal(run.cloud.orders.length, 1);
   await run.pass(2_000);
@@ -116,7 +116,7 @@
     const run = fixture();
     run.registry.put(worker('w1', { zone: 'zone-2' }));
     run.registry.put(worker('w2', { zone: 'zone-2' }));
-    run.desired.set('zone-1', 0);
+    run.desiredWorkers.set('zone-1', 0);
     await run.pass(1_000);
     t.same(ordered(run.cloud), ['service zone-1 0', 'service zone-2 2']);
     run.evacuated.add('zone-2');
